--- a/internal/gate/break_watch_test.go
+++ b/internal/gate/break_watch_test.go
@@ -220,14 +220,14 @@
 	h.breaks.broke("a@1", 7, breakStart, breakStart)
 	h.breaks.broke("b@1", 8, breakStart, breakStart)
 	h.heard(&knowledge.Backend{Incarnation: "a@1"}, breakStart.Add(time.Second), breakStart.Add(time.Second))
-	if told := m.TakeBroken(); len(told) > 0 {
+	if told := m.TakeCrashFingerprints(); len(told) > 0 {
 		t.Errorf("%v told before any crash", told)
 	}
 	_, judged := watchFor(h.breaks, breakStart, 2*time.Second, idle)
 	for _, some := range judged {
 		h.applyVerdict(some)
 	}
-	if told := m.TakeBroken(); len(told) != 1 || told[0] != 8 {
+	if told := m.TakeCrashFingerprints(); len(told) != 1 || told[0] != 8 {
 		t.Errorf("%v told, want the one whose server went down", told)
 	}
 	counted := resetsCounted(t, registry)
--- a/internal/gate/local.go
+++ b/internal/gate/local.go
@@ -11,8 +11,8 @@
 	"github.com/bluebellchute/bluebellchute/internal/shares"
 )
 
-// Uses returns what each account asked and got here.
-func (m *Manager) Uses() map[fleet.Account]shares.Use {
+// Usages returns what each account asked and got here.
+func (m *Manager) Usages() map[fleet.Account]shares.Use {
 	a := m.handler.admission
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -36,28 +36,28 @@
 	return m.handler.admission.paces.own(boottime.Now())
 }
 
-// TakeBroken returns the fingerprints of requests that were found here, since the
+// TakeCrashFingerprints returns the fingerprints of requests that were found here, since the
 // last call, to have run at a backend server that went down.
-func (m *Manager) TakeBroken() []uint64 { return m.handler.suspects.takeFresh() }
+func (m *Manager) TakeCrashFingerprints() []uint64 { return m.handler.suspects.takeFresh() }
 
-// SetUses takes the uses of another router.
-func (m *Manager) SetUses(router fleet.Address, uses map[fleet.Account]shares.Use) {
+// SetUsages takes the uses of another router.
+func (m *Manager) SetUsages(router fleet.Address, uses map[fleet.Account]shares.Use) {
 	a := m.handler.admission
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.ledger.SetOther(string(router), uses, boottime.Now())
 }
 
-// RemoveUses forgets a router that is no longer heard.
-func (m *Manager) RemoveUses(router fleet.Address) {
+// RemoveUsages forgets a router that is no longer heard.
+func (m *Manager) RemoveUsages(router fleet.Address) {
 	a := m.handler.admission
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.ledger.RemoveOther(string(router))
 }
 
-// HeardBroken takes a fingerprint from another router.
-func (m *Manager) HeardBroken(router fleet.Address, fingerprint uint64) {
+// ReceiveCrashFingerprint takes a fingerprint from another router.
+func (m *Manager) ReceiveCrashFingerprint(router fleet.Address, fingerprint uint64) {
 	m.handler.suspects.heard(router, fingerprint)
 }
 
--- a/internal/gate/plain_test.go
+++ b/internal/gate/plain_test.go
@@ -153,7 +153,7 @@
 	for ends := time.Now().Add(breakDoubt + time.Second); len(told) == 0 && time.Now().Before(ends); {
 		time.Sleep(judgeInterval)
 		m.handler.judge(boottime.Now())
-		told = m.TakeBroken()
+		told = m.TakeCrashFingerprints()
 	}
 	if len(told) != 1 {
 		t.Errorf("%d requests were found to have crashed the server, want 1", len(told))
--- a/internal/peering/control_bench_test.go
+++ b/internal/peering/control_bench_test.go
@@ -33,12 +33,12 @@
 	return local
 }
 
-func (l *busyLocal) Loads() map[uint32]gate.BackendLoad                  { return l.loads }
-func (l *busyLocal) Uses() map[fleet.Account]shares.Use                  { return l.uses }
-func (l *busyLocal) TakeBroken() []uint64                                { return nil }
-func (l *busyLocal) HeardBroken(fleet.Address, uint64)                   {}
-func (l *busyLocal) SetUses(fleet.Address, map[fleet.Account]shares.Use) {}
-func (l *busyLocal) RemoveUses(fleet.Address)                            {}
+func (l *busyLocal) Loads() map[uint32]gate.BackendLoad                    { return l.loads }
+func (l *busyLocal) Usages() map[fleet.Account]shares.Use                  { return l.uses }
+func (l *busyLocal) TakeCrashFingerprints() []uint64                       { return nil }
+func (l *busyLocal) ReceiveCrashFingerprint(fleet.Address, uint64)         {}
+func (l *busyLocal) SetUsages(fleet.Address, map[fleet.Account]shares.Use) {}
+func (l *busyLocal) RemoveUsages(fleet.Address)                            {}
 
 func (l *busyLocal) Paces() map[uint32]pace.Observation {
 	if l.paces == nil {
--- a/internal/peering/follows.go
+++ b/internal/peering/follows.go
@@ -42,9 +42,9 @@
 	return place < max(followersMost, zones)
 }
 
-// Place returns how many of the routers that are heard come before this one in the order
+// WatchRank returns how many of the routers that are heard come before this one in the order
 // in which they follow the store.
-func (t *table) Place() int {
+func (t *table) WatchRank() int {
 	place, _ := t.place(boottime.Now())
 	return place
 }
@@ -57,9 +57,9 @@
 // but by a cut, more likely than not.
 const fleetLeast = 4
 
-// Silent tells whether this router has stopped hearing a fleet that it heard. That one
+// Isolated tells whether this router has stopped hearing a fleet that it heard. That one
 // router is heard no longer shows late in a large fleet; that none is shows at once.
-func (t *table) Silent() bool {
+func (t *table) Isolated() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.most >= fleetLeast && boottime.Now().Sub(t.heardLast) > silentAfter
--- a/internal/peering/manager.go
+++ b/internal/peering/manager.go
@@ -20,8 +20,8 @@
 
 // Directory is where routers register and find each other.
 type Directory interface {
-	// Announce registers the router under its name.
-	Announce(ctx context.Context, address fleet.Address) error
+	// Register registers the router under its name.
+	Register(ctx context.Context, address fleet.Address) error
 	// Routers returns the availability zones of all routers that have registered,
 	// the departed ones included, by their addresses.
 	Routers(ctx context.Context) (map[fleet.Address]fleet.Zone, error)
@@ -32,23 +32,23 @@
 
 // Local is the router's own part in what beats carry.
 type Local interface {
-	// Uses returns what each account asked and got here.
-	Uses() map[fleet.Account]shares.Use
+	// Usages returns what each account asked and got here.
+	Usages() map[fleet.Account]shares.Use
 	// Loads returns what runs at backend servers, by their incarnations' hashes.
 	Loads() map[uint32]gate.BackendLoad
 	// Paces returns what this router has seen of how fast backend servers work, by their
 	// incarnations' hashes. It is nil if it has seen nothing.
 	Paces() map[uint32]pace.Observation
-	// TakeBroken returns the fingerprints of requests that were found here, since
+	// TakeCrashFingerprints returns the fingerprints of requests that were found here, since
 	// the last call, to have run at a backend server that went down.
-	TakeBroken() []uint64
-	// SetUses takes the uses of another router.
-	SetUses(router fleet.Address, uses map[fleet.Account]shares.Use)
-	// RemoveUses forgets a router that is no longer heard.
-	RemoveUses(router fleet.Address)
-	// HeardBroken takes a fingerprint from another router. It may come more
+	TakeCrashFingerprints() []uint64
+	// SetUsages takes the uses of another router.
+	SetUsages(router fleet.Address, uses map[fleet.Account]shares.Use)
+	// RemoveUsages forgets a router that is no longer heard.
+	RemoveUsages(router fleet.Address)
+	// ReceiveCrashFingerprint takes a fingerprint from another router. It may come more
 	// than once.
-	HeardBroken(router fleet.Address, fingerprint uint64)
+	ReceiveCrashFingerprint(router fleet.Address, fingerprint uint64)
 	// Status returns what operators want to know of this router.
 	Status() gate.Status
 	// SetDrained carries out an operator's order to leave new callers to
@@ -121,7 +121,7 @@
 // receiver returns what takes the messages of others.
 func (m *Manager) receiver() Receiver {
 	return Receiver{
-		Beat: func(ctx context.Context, data []byte) {
+		Heartbeat: func(ctx context.Context, data []byte) {
 			var beat peeringpb.Beat
 			if err := proto.Unmarshal(data, &beat); err != nil {
 				return // not from a router
@@ -145,12 +145,12 @@
 	for _, address := range beat.Routers {
 		m.add(fleet.Address(address), zoneUnknown, now)
 	}
-	m.local.SetUses(router, m.uses(router))
+	m.local.SetUsages(router, m.uses(router))
 	if beat.Sums != nil || beat.SumChanges != nil {
-		m.local.SetUses(elsewhere, m.refreshOthers(now))
+		m.local.SetUsages(elsewhere, m.refreshOthers(now))
 	}
 	for _, fingerprint := range beat.Broken {
-		m.local.HeardBroken(router, fingerprint)
+		m.local.ReceiveCrashFingerprint(router, fingerprint)
 	}
 	m.confirm(beat, now)
 	m.puller.consider(ctx, router, beat, m.alone, now)
--- a/internal/peering/network.go
+++ b/internal/peering/network.go
@@ -27,7 +27,7 @@
 
 // Receiver takes what arrives at a router.
 type Receiver struct {
-	Beat      func(ctx context.Context, beat []byte)
+	Heartbeat func(ctx context.Context, beat []byte)
 	Knowledge peeringpb.Knowledge
 	Operation peeringpb.Operation
 }
@@ -68,7 +68,7 @@
 	mux.Handle(peeringpb.KnowledgePathPrefix, peeringpb.NewKnowledgeServer(router.Knowledge))
 	mux.Handle(peeringpb.OperationPathPrefix, peeringpb.NewOperationServer(router.Operation))
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return s.receive(ctx, router.Beat) })
+	group.Go(func() error { return s.receive(ctx, router.Heartbeat) })
 	group.Go(func() error { return daemon.Serve(ctx, s.address, fleet.StepSpread, mux) })
 	return group.Wait()
 }
--- a/internal/peering/operation.go
+++ b/internal/peering/operation.go
@@ -27,7 +27,7 @@
 		NotReady:  status.NotReady,
 		Running:   uint32(status.Running),
 		Follows:   o.manager.Follows(),
-		Uses:      reportUses(o.manager.local.Uses()),
+		Uses:      reportUses(o.manager.local.Usages()),
 		Evacuated: zoneNames(view.Evacuations.Zones),
 		Engines:   reportPaces(status.Engines),
 	}
--- a/internal/peering/peering_test.go
+++ b/internal/peering/peering_test.go
@@ -427,7 +427,7 @@
 	removed   []fleet.Address
 }
 
-func (d *fakeDirectory) Announce(context.Context, fleet.Address) error { d.announced++; return nil }
+func (d *fakeDirectory) Register(context.Context, fleet.Address) error { d.announced++; return nil }
 func (d *fakeDirectory) Routers(context.Context) (map[fleet.Address]fleet.Zone, error) {
 	return d.listed, nil
 }
--- a/internal/peering/register.go
+++ b/internal/peering/register.go
@@ -57,7 +57,7 @@
 
 // announce registers this router and returns how many lists in a row lack it then.
 func (m *Manager) announce(ctx context.Context, missing int) int {
-	err := m.options.Directory.Announce(ctx, m.options.Address)
+	err := m.options.Directory.Register(ctx, m.options.Address)
 	m.logFailure(ctx, err)
 	if err != nil {
 		return missing
--- a/internal/peering/send.go
+++ b/internal/peering/send.go
@@ -55,11 +55,11 @@
 		now := boottime.Now()
 		for _, lost := range m.expire(now) {
 			m.records.noteLost(lost)
-			m.local.RemoveUses(lost)
+			m.local.RemoveUsages(lost)
 		}
 		m.records.log(now)
 		m.traffic.log(now)
-		m.local.SetUses(elsewhere, m.refreshOthers(now))
+		m.local.SetUsages(elsewhere, m.refreshOthers(now))
 		m.sendRound(round, now)
 		select {
 		case <-ctx.Done():
@@ -73,7 +73,7 @@
 func (m *Manager) sendRound(round int, now boottime.Instant) {
 	targets := m.targets(now)
 	common := m.common(now, len(targets))
-	own := use{loads: m.local.Loads(), uses: m.local.Uses(), paces: ownPaces(m.local.Paces(), now), at: now}
+	own := use{loads: m.local.Loads(), uses: m.local.Usages(), paces: ownPaces(m.local.Paces(), now), at: now}
 	if len(targets) <= smallFleet {
 		m.sendBeats(targets, common, own, m.pacesDue(round, 1), summed{})
 		return
@@ -212,7 +212,7 @@
 // takeBroken returns the fingerprints that the beats of this round carry. They go
 // on until each router has had its turn several times, in so many rounds each.
 func (m *Manager) takeBroken(rounds int) []uint64 {
-	for _, fingerprint := range m.local.TakeBroken() {
+	for _, fingerprint := range m.local.TakeCrashFingerprints() {
 		m.broken = append(m.broken, brokenEntry{fingerprint: fingerprint, left: brokenRepeats * rounds})
 	}
 	var carried []uint64
--- a/internal/peering/sums_test.go
+++ b/internal/peering/sums_test.go
@@ -41,26 +41,26 @@
 	return map[uint32]gate.BackendLoad{theEngine: {Running: l.running}}
 }
 
-func (l *fakeLocal) Uses() map[fleet.Account]shares.Use {
+func (l *fakeLocal) Usages() map[fleet.Account]shares.Use {
 	return map[fleet.Account]shares.Use{"a": {Asked: float64(1000 * l.running)}}
 }
 
 func (l *fakeLocal) Paces() map[uint32]pace.Observation { return l.paces }
 
-func (l *fakeLocal) TakeBroken() []uint64 {
+func (l *fakeLocal) TakeCrashFingerprints() []uint64 {
 	taken := l.broken
 	l.broken = nil
 	return taken
 }
 
-func (l *fakeLocal) HeardBroken(_ fleet.Address, fingerprint uint64) {
+func (l *fakeLocal) ReceiveCrashFingerprint(_ fleet.Address, fingerprint uint64) {
 	l.told = append(l.told, fingerprint)
 }
 
-func (l *fakeLocal) SetUses(router fleet.Address, uses map[fleet.Account]shares.Use) {
+func (l *fakeLocal) SetUsages(router fleet.Address, uses map[fleet.Account]shares.Use) {
 	l.heard[router] = uses
 }
-func (l *fakeLocal) RemoveUses(router fleet.Address) { delete(l.heard, router) }
+func (l *fakeLocal) RemoveUsages(router fleet.Address) { delete(l.heard, router) }
 
 // asked is what all others asked together.
 func (l *fakeLocal) asked() float64 {
@@ -158,9 +158,9 @@
 		for _, address := range f.addresses() {
 			router := f.routers[address]
 			for _, lost := range router.expire(f.now) {
-				router.local.RemoveUses(lost)
+				router.local.RemoveUsages(lost)
 			}
-			router.local.SetUses(elsewhere, router.refreshOthers(f.now))
+			router.local.SetUsages(elsewhere, router.refreshOthers(f.now))
 			router.sendRound(f.round, f.now)
 		}
 	}
--- a/internal/peering/traffic_bench_test.go
+++ b/internal/peering/traffic_bench_test.go
@@ -73,8 +73,8 @@
 	heard  map[fleet.Address]map[fleet.Account]shares.Use
 }
 
-func (l *calledLocal) Uses() map[fleet.Account]shares.Use { return l.ledger.Own(l.fabric.now) }
-func (l *calledLocal) SetUses(router fleet.Address, uses map[fleet.Account]shares.Use) {
+func (l *calledLocal) Usages() map[fleet.Account]shares.Use { return l.ledger.Own(l.fabric.now) }
+func (l *calledLocal) SetUsages(router fleet.Address, uses map[fleet.Account]shares.Use) {
 	if router == elsewhere {
 		l.heard[router] = uses
 	}
