--- a/internal/gate/admission.go
+++ b/internal/gate/admission.go
@@ -86,7 +86,7 @@
 	if request.Prompt.Tokens == 0 {
 		return true
 	}
-	return a.standing(request, view.Index.Configuration.Limits.TokensPerSecond, boottime.Now()).Owed()
+	return a.standing(request, view.Index.Configuration.Limits.TokensPerSecond, boottime.Now()).WithinShare()
 }
 
 // shut notes that a request was turned away for another reason than what its
--- a/internal/gate/loads.go
+++ b/internal/gate/loads.go
@@ -134,7 +134,7 @@
 func (l *loads) read(service fleet.Service, pending float64, took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.model(service).rate.Note(pending, took)
+	l.model(service).rate.Observe(pending, took)
 }
 
 // model returns what was learned of the service's engines.
@@ -151,14 +151,14 @@
 func (l *loads) noteLate(service fleet.Service, late bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.model(service).headroom.Note(late)
+	l.model(service).headroom.Observe(late)
 }
 
 // headroom returns the part of the budgets that is used at the service.
 func (l *loads) headroom(service fleet.Service, least float64) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.model(service).headroom.Part(least)
+	return l.model(service).headroom.Value(least)
 }
 
 // headrooms returns the headroom of each service.
@@ -167,7 +167,7 @@
 	defer l.mu.Unlock()
 	parts := make(map[fleet.Service]float64, len(l.models))
 	for service, model := range l.models {
-		parts[service] = model.headroom.Part(0)
+		parts[service] = model.headroom.Value(0)
 	}
 	return parts
 }
@@ -177,7 +177,7 @@
 func (l *loads) rate(service fleet.Service, assumed float64) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.model(service).rate.Rate(assumed)
+	return l.model(service).rate.Estimate(assumed)
 }
 
 // observedRate returns how many prompt tokens an engine of the service reads in a second,
--- a/internal/gate/place_model.go
+++ b/internal/gate/place_model.go
@@ -15,7 +15,7 @@
 	request    *Request
 	view       *knowledge.View
 	tier       policy.Tier
-	facts      policy.Facts
+	facts      policy.ModelRequest
 	bounds     policy.Bounds
 	protection policy.Protection
 	demand     selection.Demand
@@ -31,8 +31,8 @@
 	now := boottime.Now()
 	facts := a.facts(request, view, again, now)
 	tier := a.policy().Tier(facts, rand.Float64())
-	if !a.policy().Open(tier, facts.Standing) {
-		return nil, a.refuseModel(request, tier, Inputs{Tier: tier, Standing: facts.Standing.Got})
+	if !a.policy().TierOpen(tier, facts.Usage) {
+		return nil, a.refuseModel(request, tier, Inputs{Tier: tier, Standing: facts.Usage.ShareUsed})
 	}
 	search := a.search(request, view, tier, facts, now)
 	backend, choice := a.choose(search, usable, now)
@@ -63,7 +63,7 @@
 }
 
 // search returns what the search for an engine goes by.
-func (a *admission) search(request *Request, view *knowledge.View, tier policy.Tier, facts policy.Facts, now boottime.Instant) *modelSearch {
+func (a *admission) search(request *Request, view *knowledge.View, tier policy.Tier, facts policy.ModelRequest, now boottime.Instant) *modelSearch {
 	bounds := a.policy().Bounds(tier, facts)
 	search := &modelSearch{
 		request: request,
@@ -98,7 +98,7 @@
 	hot := a.hot(search.part, now) // counts the request, wherever it is placed
 	// While some engines get no requests, the list is built for each one.
 	drawn := !sameList(usable, search.serving())
-	backend, choice := a.chooseAmong(search, usable, drawn, search.protection.Engines(search.bounds))
+	backend, choice := a.chooseAmong(search, usable, drawn, search.protection.MaxEngines(search.bounds))
 	if backend.Zone == a.zone && choice.Good() {
 		return backend, choice
 	}
@@ -132,7 +132,7 @@
 	return Inputs{
 		Tier:     s.tier,
 		Backend:  backend.ID,
-		Standing: s.facts.Standing.Got,
+		Standing: s.facts.Usage.ShareUsed,
 		Ahead:    choice.Ahead,
 		Budget:   s.demand.Budget,
 		Shared:   choice.Place == 0,
@@ -144,14 +144,14 @@
 }
 
 // facts returns what the tier and the bounds of a request rest on.
-func (a *admission) facts(request *Request, view *knowledge.View, again bool, now boottime.Instant) policy.Facts {
-	return policy.Facts{
-		Standing: a.standing(request, view.Index.Configuration.Limits.TokensPerSecond, now),
-		Target:   request.Route.TargetLatency,
-		Tightest: view.Index.Tightest(request.Service),
-		Rank:     view.Index.Rank(request.Service, request.Route, request.Account),
-		Headroom: a.loads.headroom(request.Service, a.leastHeadroom(request.Service)),
-		Again:    again,
+func (a *admission) facts(request *Request, view *knowledge.View, again bool, now boottime.Instant) policy.ModelRequest {
+	return policy.ModelRequest{
+		Usage:          a.standing(request, view.Index.Configuration.Limits.TokensPerSecond, now),
+		Target:         request.Route.TargetLatency,
+		ShortestTarget: view.Index.Tightest(request.Service),
+		Rank:           view.Index.Rank(request.Service, request.Route, request.Account),
+		Headroom:       a.loads.headroom(request.Service, a.leastHeadroom(request.Service)),
+		DeclinedBefore: again,
 	}
 }
 
@@ -164,17 +164,17 @@
 }
 
 // standing returns how much of its share the request's account will have got.
-func (a *admission) standing(request *Request, capacity float64, now boottime.Instant) policy.Standing {
+func (a *admission) standing(request *Request, capacity float64, now boottime.Instant) policy.AccountUsage {
 	if request.Account == nil {
-		return policy.Standing{}
+		return policy.AccountUsage{}
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.ledger.Observe = a.policy().ObservedCapacity
-	return policy.Standing{
-		Got:      a.ledger.Standing(request.Account.Name, request.Prompt.Cost(), capacity, now),
-		Whole:    a.ledger.Whole(request.Account.Name, request.Prompt.Cost(), now),
-		Shortage: a.ledger.Shortage(),
+	return policy.AccountUsage{
+		ShareUsed:     a.ledger.Standing(request.Account.Name, request.Prompt.Cost(), capacity, now),
+		EvenShareUsed: a.ledger.Whole(request.Account.Name, request.Prompt.Cost(), now),
+		Shortage:      a.ledger.Shortage(),
 	}
 }
 
@@ -190,7 +190,7 @@
 // refuseInTurn refuses a request for want of room.
 func (a *admission) refuseInTurn(request *Request, reason Reason, inputs Inputs) *Refusal {
 	refusal := a.refuse(request, reason)
-	refusal.RetryAfter = a.policy().RetryInTurn(request.Route.TargetLatency, inputs.Standing, rand.Float64())
+	refusal.RetryAfter = a.policy().RetryAfterByUsage(request.Route.TargetLatency, inputs.Standing, rand.Float64())
 	refusal.Inputs = inputs
 	return refusal
 }
@@ -222,7 +222,7 @@
 		Own:    max(float64(prompt.Tokens)-shared, 0),
 		Output: float64(output),
 		Budget: bounds.Budget,
-		Whole:  bounds.Whole,
+		Whole:  bounds.CountOwnPrompt,
 	}
 }
 
@@ -271,9 +271,9 @@
 	return selection.Limits{
 		SecondPenalty: a.policy().SecondPenalty,
 		Rate:          a.loads.rate(service, assumed),
-		SlotShare:     bounds.Slots,
-		Fallbacks:     bounds.Engines,
-		MemoryShare:   bounds.Memory,
+		SlotShare:     bounds.SlotShare,
+		Fallbacks:     bounds.MaxEngines,
+		MemoryShare:   bounds.MemoryShare,
 	}
 }
 
--- a/internal/gate/plain.go
+++ b/internal/gate/plain.go
@@ -42,7 +42,7 @@
 // plainPlace is the place of a request at a plain server under admission control.
 type plainPlace struct {
 	state    *plainState
-	sent     policy.PlainSent
+	sent     policy.SentPlainRequest
 	answered bool // the server's own answer has come, and is no failure
 }
 
@@ -83,12 +83,12 @@
 	defer a.plain.mu.Unlock()
 	now := boottime.Now() // under the lock, so that moments follow each other
 	servers, heard := a.lookPlain(usable, now)
-	choice := a.policy().Plain(policy.PlainRequest{
+	choice := a.policy().ChoosePlain(policy.PlainRequest{
 		Target:     request.Route.TargetLatency,
-		Left:       request.Left(now),
+		Remaining:  request.Left(now),
 		Idempotent: request.Idempotent(),
 		Rank:       view.Index.Rank(request.Service, request.Route, request.Account),
-		Draw:       rand.Float64(),
+		Jitter:     rand.Float64(),
 		Offset:     rand.IntN(len(servers)),
 	}, servers)
 	a.plain.waits(request.Service, choice.Wait)
@@ -98,7 +98,7 @@
 		return nil, &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonBusy, RetryAfter: choice.RetryAfter, Inputs: inputs}
 	}
 	place := &plainPlace{state: a.plain.state(backend.Incarnation, now)}
-	place.sent = policy.PlainSent{At: now, Rounds: policy.PlainRounds(heard[choice.Server], backend.Slots)}
+	place.sent = policy.SentPlainRequest{At: now, Rounds: policy.PlainRounds(heard[choice.Server], backend.Slots)}
 	place.state.work.Begin(&place.sent)
 	placed := &placement{backend: backend, load: BackendLoad{Running: 1}, plain: place, inputs: inputs}
 	a.loads.begin(backend.Incarnation, placed.load)
@@ -117,13 +117,13 @@
 		own, _ := a.loads.get(backend.Incarnation)
 		others := a.peers.Load(backend.IncarnationHash).Running
 		heard[i] = own.Running + others
-		seen := policy.PlainSeen{Own: own.Running, Others: others, Slots: backend.Slots, Routers: routers}
+		seen := policy.PlainCounts{Own: own.Running, Others: others, Slots: backend.Slots, Routers: routers}
 		servers[i] = policy.PlainServer{
-			Running: state.load.Expect(seen, dither, now),
-			Slots:   backend.Slots,
-			Near:    backend.Zone == a.zone,
-			Service: state.work.At(now, mean),
-			Pace:    paces.Engine(backend.IncarnationHash).Slowdown(),
+			Running:     state.load.Estimate(seen, dither, now),
+			Slots:       backend.Slots,
+			SameZone:    backend.Zone == a.zone,
+			ServiceTime: state.work.At(now, mean),
+			Slowdown:    paces.Engine(backend.IncarnationHash).Slowdown(),
 		}
 	}
 	return servers, heard
@@ -139,7 +139,7 @@
 	defer a.plain.mu.Unlock()
 	placed.plain.answered = true
 	if valid {
-		placed.plain.state.work.Note(&placed.plain.sent, took)
+		placed.plain.state.work.Observe(&placed.plain.sent, took)
 	}
 }
 
@@ -154,7 +154,7 @@
 	place, now := placed.plain, boottime.Now()
 	a.plain.mu.Lock()
 	place.state.work.End(&place.sent)
-	rest := place.state.work.Rest(&place.sent, now)
+	rest := place.state.work.RemainingTime(&place.sent, now)
 	a.plain.mu.Unlock()
 	leave := func() { a.loads.end(placed.backend.Incarnation, placed.load) }
 	if !ran || place.answered || rest == 0 {
--- a/internal/gate/plain_test.go
+++ b/internal/gate/plain_test.go
@@ -146,7 +146,7 @@
 	m := plainGate(t, PlainSettings{Admission: true}, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	for _, backend := range m.handler.state.View().Backends {
 		state := m.handler.admission.plain.state(backend.Incarnation, boottime.Now())
-		state.work.Note(&policy.PlainSent{Rounds: 1}, 10*time.Second)
+		state.work.Observe(&policy.SentPlainRequest{Rounds: 1}, 10*time.Second)
 	}
 	askPlain(m)
 	var told []uint64
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -157,24 +157,24 @@
 func (r *fleetRun) decide(c *caller) {
 	router := r.routers[r.routerOf(c)]
 	router.ledger.Asked(c.account, c.cost, r.now)
-	facts := policy.Facts{
-		Standing: r.standing(router, c),
-		Target:   c.kind.Target,
-		Tightest: r.tightest,
-		Headroom: router.headroom.Part(r.settings.LeastHeadroom),
+	facts := policy.ModelRequest{
+		Usage:          r.standing(router, c),
+		Target:         c.kind.Target,
+		ShortestTarget: r.tightest,
+		Headroom:       router.headroom.Value(r.settings.LeastHeadroom),
 	}
 	tier := r.settings.Tier(facts, r.random.Float64())
-	if !r.settings.Open(tier, facts.Standing) {
+	if !r.settings.TierOpen(tier, facts.Usage) {
 		r.refuse(c)
 		return
 	}
 	bounds := r.settings.Bounds(tier, facts)
-	ranked := selection.Rank(r.hashes, func(hash uint64) uint64 { return hash }, c.key, bounds.Engines)
-	demand := selection.Demand{Shared: float64(c.kind.Shared), Own: c.own, Output: float64(c.kind.Output), Budget: bounds.Budget, Whole: bounds.Whole}
+	ranked := selection.Rank(r.hashes, func(hash uint64) uint64 { return hash }, c.key, bounds.MaxEngines)
+	demand := selection.Demand{Shared: float64(c.kind.Shared), Own: c.own, Output: float64(c.kind.Output), Budget: bounds.Budget, Whole: bounds.CountOwnPrompt}
 	choice := selection.Model(len(ranked), r.candidates(router, ranked), demand, selection.Limits{
-		Rate:          router.rate.Rate(r.deployment.Stated / float64(r.deployment.Engines)),
-		SlotShare:     bounds.Slots,
-		MemoryShare:   bounds.Memory,
+		Rate:          router.rate.Estimate(r.deployment.Stated / float64(r.deployment.Engines)),
+		SlotShare:     bounds.SlotShare,
+		MemoryShare:   bounds.MemoryShare,
 		SecondPenalty: r.settings.SecondPenalty,
 	})
 	if !choice.Fits {
@@ -189,11 +189,11 @@
 	r.send(c, router, ranked[choice.Place], load{running: 1, pending: choice.Tokens, memory: float64(c.kind.Shared) + c.own + float64(c.kind.Output)})
 }
 
-func (r *fleetRun) standing(router *router, c *caller) policy.Standing {
-	return policy.Standing{
-		Got:      router.ledger.Standing(c.account, c.cost, r.deployment.Stated, r.now),
-		Whole:    router.ledger.Whole(c.account, c.cost, r.now),
-		Shortage: router.ledger.Shortage(),
+func (r *fleetRun) standing(router *router, c *caller) policy.AccountUsage {
+	return policy.AccountUsage{
+		ShareUsed:     router.ledger.Standing(c.account, c.cost, r.deployment.Stated, r.now),
+		EvenShareUsed: router.ledger.Whole(c.account, c.cost, r.now),
+		Shortage:      router.ledger.Shortage(),
 	}
 }
 
@@ -231,7 +231,7 @@
 		r.emitted = append(r.emitted, func() {
 			if number == 1 {
 				router.own[index].pending -= entered.pending
-				router.rate.Note(pending, r.now.Sub(sent))
+				router.rate.Observe(pending, r.now.Sub(sent))
 				late = r.now.Sub(c.came) > c.kind.Target
 			} else {
 				late = late || r.now.Sub(last) > c.kind.Gap
@@ -240,7 +240,7 @@
 			if whole {
 				router.own[index].running--
 				router.own[index].memory -= entered.memory
-				router.headroom.Note(late)
+				router.headroom.Observe(late)
 				r.result.answered(c, late)
 			}
 		})
--- a/internal/policy/bounds.go
+++ b/internal/policy/bounds.go
@@ -14,12 +14,12 @@
 // Bounds are what a request finds acceptable at an engine.
 type Bounds struct {
 	Budget time.Duration // for the prompts ahead
-	// Whole tells that the request's own prompt counts in the budget.
-	Whole  bool
-	Slots  float64 // part of the engine's slots that may be taken
-	Memory float64 // part of the engine's memory that may be filled
-	// Engines is how many engines may be looked at for room.
-	Engines int
+	// CountOwnPrompt tells that the request's own prompt counts in the budget.
+	CountOwnPrompt bool
+	SlotShare      float64 // part of the engine's slots that may be taken
+	MemoryShare    float64 // part of the engine's memory that may be filled
+	// MaxEngines is how many engines may be looked at for room.
+	MaxEngines int
 }
 
 const (
@@ -33,7 +33,7 @@
 )
 
 // Bounds returns the bounds for a request of the tier.
-func (s *Settings) Bounds(tier Tier, facts Facts) Bounds {
+func (s *Settings) Bounds(tier Tier, facts ModelRequest) Bounds {
 	if tier == TierIdle {
 		return s.idleBounds(facts)
 	}
@@ -41,12 +41,12 @@
 	if tier == TierSurplus {
 		part *= s.SurplusShare
 	}
-	part *= 1 - shortPreference*facts.Standing.Shortage*min(facts.Standing.Got, 1)
+	part *= 1 - shortPreference*facts.Usage.Shortage*min(facts.Usage.ShareUsed, 1)
 	engines := selection.Homes
 	if tier == TierOwed {
 		engines = max(s.OwedEngines, selection.Homes)
 	}
-	return Bounds{Budget: share(facts.Target, part), Slots: s.SlotShare, Memory: s.MemoryShare, Engines: engines}
+	return Bounds{Budget: share(facts.Target, part), SlotShare: s.SlotShare, MemoryShare: s.MemoryShare, MaxEngines: engines}
 }
 
 // idleBounds lets a request in where hardly anything waits and its own prompt
@@ -58,19 +58,19 @@
 // An account that has had little of what is served finds wider bounds: its prompts may
 // be long, and with the narrow ones they would fit nowhere while engines have nothing to
 // do and other accounts get their part in short prompts.
-func (s *Settings) idleBounds(facts Facts) Bounds {
-	tightest := facts.Tightest
+func (s *Settings) idleBounds(facts ModelRequest) Bounds {
+	tightest := facts.ShortestTarget
 	if tightest == 0 {
 		tightest = facts.Target
 	}
-	part := need(facts.Standing.Whole)
+	part := need(facts.Usage.EvenShareUsed)
 	return Bounds{
-		Budget: share(tightest, between(s.IdleShare, s.IdleWide, part)*facts.Headroom),
-		Whole:  true,
-		Slots:  between(s.IdleSlots, s.IdleWideSlots, part),
-		Memory: between(s.IdleMemory, s.IdleWideSlots, part),
+		Budget:         share(tightest, between(s.IdleShare, s.IdleWide, part)*facts.Headroom),
+		CountOwnPrompt: true,
+		SlotShare:      between(s.IdleSlots, s.IdleWideSlots, part),
+		MemoryShare:    between(s.IdleMemory, s.IdleWideSlots, part),
 
-		Engines: selection.Homes,
+		MaxEngines: selection.Homes,
 	}
 }
 
--- a/internal/policy/headroom.go
+++ b/internal/policy/headroom.go
@@ -24,8 +24,8 @@
 	lowered float64
 }
 
-// Note takes the end of an answer.
-func (h *Headroom) Note(late bool) {
+// Observe takes the end of an answer.
+func (h *Headroom) Observe(late bool) {
 	part := 1 - h.lowered
 	if late {
 		part *= 1 - lateStep
@@ -35,8 +35,8 @@
 	h.lowered = 1 - min(part, 1)
 }
 
-// Part returns the headroom, at least as much as stated.
-func (h *Headroom) Part(least float64) float64 {
+// Value returns the headroom, at least as much as stated.
+func (h *Headroom) Value(least float64) float64 {
 	h.lowered = min(h.lowered, 1-least)
 	return 1 - h.lowered
 }
--- a/internal/policy/plain.go
+++ b/internal/policy/plain.go
@@ -24,23 +24,23 @@
 
 // PlainServer is a plain backend server as a candidate for one request.
 type PlainServer struct {
-	Running int           // requests at it, of all routers, as far as expected
-	Slots   int           // requests that it works on at once, 0 if unknown
-	Near    bool          // in the router's availability zone
-	Service time.Duration // that one request takes there without a wait
-	Pace    float64       // its current over its usual work time, 1 if unknown
+	Running     int           // requests at it, of all routers, as far as expected
+	Slots       int           // requests that it works on at once, 0 if unknown
+	SameZone    bool          // in the router's availability zone
+	ServiceTime time.Duration // that one request takes there without a wait
+	Slowdown    float64       // its current over its usual work time, 1 if unknown
 }
 
-// Free tells whether a slot is free. A server that does not tell its slots takes
+// HasFreeSlot tells whether a slot is free. A server that does not tell its slots takes
 // everything: no wait can be expected there.
-func (s PlainServer) Free() bool { return s.Slots <= 0 || s.Running < s.Slots }
+func (s PlainServer) HasFreeSlot() bool { return s.Slots <= 0 || s.Running < s.Slots }
 
 // Wait returns how long one more request is expected to wait for a slot.
 func (s PlainServer) Wait() time.Duration {
 	return share(s.work(), PlainRounds(s.Running, s.Slots)-1)
 }
 
-func (s PlainServer) work() time.Duration { return share(s.Service, s.Pace) }
+func (s PlainServer) work() time.Duration { return share(s.ServiceTime, s.Slowdown) }
 
 // answer returns when the answer to one more request is expected.
 func (s PlainServer) answer() time.Duration { return s.Wait() + s.work() }
@@ -58,10 +58,10 @@
 // PlainRequest is a request to a plain service that is to be placed.
 type PlainRequest struct {
 	Target     time.Duration // latency of its route, 0 for none
-	Left       time.Duration // until its caller gives up
+	Remaining  time.Duration // until its caller gives up
 	Idempotent bool          // it may run more than once
 	Rank       int           // how many priorities in use are more urgent
-	Draw       float64       // random number in [0, 1) for the time to come back
+	Jitter     float64       // random number in [0, 1) for the time to come back
 	Offset     int           // rotates equal servers, at least 0
 }
 
@@ -74,10 +74,10 @@
 	RetryAfter time.Duration // time to come back, 0 if the request fits
 }
 
-// Plain chooses one of the servers for a request, or refuses it. There is at
+// ChoosePlain chooses one of the servers for a request, or refuses it. There is at
 // least one server. One with a free slot takes any request, even one whose answer
 // is expected too late: only answers show that a server has become faster.
-func (s *Settings) Plain(request PlainRequest, servers []PlainServer) PlainChoice {
+func (s *Settings) ChoosePlain(request PlainRequest, servers []PlainServer) PlainChoice {
 	choice := PlainChoice{Budget: s.plainBudget(request, servers)}
 	best := 0
 	for i, server := range servers {
@@ -98,7 +98,7 @@
 // not widen it: its floor is the shortest service time.
 func (s *Settings) plainBudget(request PlainRequest, servers []PlainServer) time.Duration {
 	if request.Target <= 0 {
-		return request.Left
+		return request.Remaining
 	}
 	work := servers[0].work()
 	for _, server := range servers {
@@ -113,7 +113,7 @@
 
 // takes tells whether the request may be sent to the server.
 func (c PlainChoice) takes(request PlainRequest, server PlainServer) bool {
-	return server.Free() || server.Wait() <= c.Budget && server.answer() <= request.Left
+	return server.HasFreeSlot() || server.Wait() <= c.Budget && server.answer() <= request.Remaining
 }
 
 // among returns the index of the server with the earliest expected answer among
@@ -137,7 +137,7 @@
 		if !c.takes(request, server) || server.answer() > most {
 			continue
 		}
-		if chosen < 0 || server.Near && !servers[chosen].Near {
+		if chosen < 0 || server.SameZone && !servers[chosen].SameZone {
 			chosen = index
 		}
 	}
@@ -148,7 +148,7 @@
 // but not longer than its caller would wait for the answer. The random part keeps
 // callers that were refused together from coming back together.
 func (c PlainChoice) retryAfter(request PlainRequest, server PlainServer) time.Duration {
-	after := max(server.Wait()-c.Budget, server.answer()-request.Left)
-	after = max(min(after, request.Left), leastRetry)
-	return after + share(after, plainJitter*request.Draw)
+	after := max(server.Wait()-c.Budget, server.answer()-request.Remaining)
+	after = max(min(after, request.Remaining), leastRetry)
+	return after + share(after, plainJitter*request.Jitter)
 }
--- a/internal/policy/plain_replay_test.go
+++ b/internal/policy/plain_replay_test.go
@@ -21,7 +21,7 @@
 type replayJob struct {
 	router, server int
 	failed         bool
-	sent           *PlainSent
+	sent           *SentPlainRequest
 	ends           int // milliseconds, 0 while it waits
 }
 
@@ -100,7 +100,7 @@
 			continue
 		}
 		took := instant(now).Sub(job.sent.At)
-		times.Note(job.sent, took)
+		times.Observe(job.sent, took)
 		latency := &r.latency[job.router][server]
 		*latency += (took.Seconds() - *latency) * 0.1
 		r.given[server]++
@@ -126,13 +126,13 @@
 		}
 		own := current[router][server]
 		heardAt[server] = own + others
-		expected := r.loads[router][server].Expect(PlainSeen{own, others, replaySlots, replayRouters}, draw, instant(now))
+		expected := r.loads[router][server].Estimate(PlainCounts{own, others, replaySlots, replayRouters}, draw, instant(now))
 		near, times := router%replayServers == server, &r.times[router][server]
 		servers[server] = PlainServer{expected, replaySlots, near, times.At(instant(now), 0), 1}
 		plain[server] = selection.Server{Running: own + others, Slots: replaySlots, Near: near, Latency: r.latency[router][server]}
 	}
-	request := PlainRequest{Target: replayTarget, Left: 3 * time.Second, Idempotent: caller.read, Draw: draw, Offset: offset}
-	choice := settings.Plain(request, servers)
+	request := PlainRequest{Target: replayTarget, Remaining: 3 * time.Second, Idempotent: caller.read, Jitter: draw, Offset: offset}
+	choice := settings.ChoosePlain(request, servers)
 	if !r.admission {
 		choice = PlainChoice{Server: selection.Plain(plain, offset), Fits: true}
 	}
@@ -150,12 +150,12 @@
 
 func (r *replay) send(router, server, heard, now int) {
 	job := &replayJob{router: router, server: server}
-	job.sent = &PlainSent{At: instant(now), Rounds: PlainRounds(heard, replaySlots)}
+	job.sent = &SentPlainRequest{At: instant(now), Rounds: PlainRounds(heard, replaySlots)}
 	times := &r.times[router][server]
 	if server == r.failing && now > 5000 {
 		r.errors++
 		job.failed = true
-		job.ends = now + 1 + int(times.Rest(job.sent, instant(now)).Milliseconds())
+		job.ends = now + 1 + int(times.RemainingTime(job.sent, instant(now)).Milliseconds())
 	} else {
 		times.Begin(job.sent)
 	}
--- a/internal/policy/plainload.go
+++ b/internal/policy/plainload.go
@@ -39,20 +39,20 @@
 	drawn      boottime.Instant
 }
 
-// PlainSeen is what a router knows of the requests at a plain server.
-type PlainSeen struct {
+// PlainCounts is what a router knows of the requests at a plain server.
+type PlainCounts struct {
 	Own     int // of this router
 	Others  int // of other routers, as they told last
 	Slots   int
 	Routers int // that send requests there, this one included
 }
 
-// Expect notes what is seen and returns how many requests are expected at the
+// Estimate notes what is seen and returns how many requests are expected at the
 // server. dither is a random number in [0, 1): a router whose part is not a whole
 // number of requests rounds it up now and then, the less often the more crowded the
 // server is: a full dither at any load refuses many requests that a server which is
 // just full could take, and a small one admits too many to a crowded one.
-func (l *PlainLoad) Expect(seen PlainSeen, dither float64, now boottime.Instant) int {
+func (l *PlainLoad) Estimate(seen PlainCounts, dither float64, now boottime.Instant) int {
 	heard := seen.Own + seen.Others
 	now = max(now, l.noted) // the weight of an earlier moment would be negative
 	weight := 1 - math.Exp(-now.Sub(l.noted).Seconds()/plainLoadLife.Seconds())
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -18,8 +18,8 @@
 	IdleShare: 0.1, IdleSlots: 0.3, IdleMemory: 0.3, LeastHeadroom: 0.2, RetryShare: 0.35,
 }
 
-func facts(got float64) Facts {
-	return Facts{Standing: Standing{Got: got}, Target: time.Second, Tightest: 500 * time.Millisecond, Headroom: 1}
+func facts(got float64) ModelRequest {
+	return ModelRequest{Usage: AccountUsage{ShareUsed: got}, Target: time.Second, ShortestTarget: 500 * time.Millisecond, Headroom: 1}
 }
 
 // Whatever is drawn, a request within its account's share is owed, and one far
@@ -44,11 +44,11 @@
 // Cause: surplus was given out while others had less than their share.
 func TestNoSurplusWhileEnginesFallShort(t *testing.T) {
 	short := facts(1.5)
-	short.Target = short.Tightest
+	short.Target = short.ShortestTarget
 	if tier := settings.Tier(short, 0); tier != TierSurplus {
 		t.Fatalf("tier %v while there is enough", tier)
 	}
-	short.Standing.Shortage = 1
+	short.Usage.Shortage = 1
 	if tier := settings.Tier(short, 0); tier != TierIdle {
 		t.Errorf("tier %v while engines fall short", tier)
 	}
@@ -58,14 +58,14 @@
 func TestLaterTiersGetNoMore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := facts(rapid.Float64Range(0, 3).Draw(t, "got"))
-		f.Standing.Shortage = rapid.Float64Range(0, 1).Draw(t, "shortage")
+		f.Usage.Shortage = rapid.Float64Range(0, 1).Draw(t, "shortage")
 		f.Rank = rapid.IntRange(0, 9).Draw(t, "rank")
 		f.Headroom = rapid.Float64Range(0.2, 1).Draw(t, "headroom")
 		owed, surplus, idle := settings.Bounds(TierOwed, f), settings.Bounds(TierSurplus, f), settings.Bounds(TierIdle, f)
 		if surplus.Budget > owed.Budget || idle.Budget > surplus.Budget {
 			t.Fatalf("budgets %v, %v, %v", owed.Budget, surplus.Budget, idle.Budget)
 		}
-		if idle.Slots > owed.Slots || idle.Memory > owed.Memory || !idle.Whole {
+		if idle.SlotShare > owed.SlotShare || idle.MemoryShare > owed.MemoryShare || !idle.CountOwnPrompt {
 			t.Fatalf("idle %+v, owed %+v", idle, owed)
 		}
 	})
@@ -77,13 +77,13 @@
 	s := Defaults()
 	rapid.Check(t, func(t *rapid.T) {
 		little, much := facts(3), facts(3)
-		little.Standing.Whole = rapid.Float64Range(0, 2).Draw(t, "little")
-		much.Standing.Whole = little.Standing.Whole + rapid.Float64Range(0, 1).Draw(t, "more")
+		little.Usage.EvenShareUsed = rapid.Float64Range(0, 2).Draw(t, "little")
+		much.Usage.EvenShareUsed = little.Usage.EvenShareUsed + rapid.Float64Range(0, 1).Draw(t, "more")
 		wide, narrow, owed := s.Bounds(TierIdle, little), s.Bounds(TierIdle, much), s.Bounds(TierOwed, facts(0.5))
-		if narrow.Budget > wide.Budget || narrow.Slots > wide.Slots || narrow.Memory > wide.Memory {
+		if narrow.Budget > wide.Budget || narrow.SlotShare > wide.SlotShare || narrow.MemoryShare > wide.MemoryShare {
 			t.Fatalf("%+v for one that had more, %+v", narrow, wide)
 		}
-		if wide.Budget > owed.Budget || wide.Slots > owed.Slots || wide.Memory > owed.Memory {
+		if wide.Budget > owed.Budget || wide.SlotShare > owed.SlotShare || wide.MemoryShare > owed.MemoryShare {
 			t.Fatalf("idle %+v, owed %+v", wide, owed)
 		}
 	})
@@ -111,14 +111,14 @@
 			}
 			ledger.Asked(account, tokens, now)
 			f := facts(ledger.Standing(account, tokens, stated, now))
-			f.Standing.Whole = ledger.Whole(account, tokens, now)
+			f.Usage.EvenShareUsed = ledger.Whole(account, tokens, now)
 			tier := s.Tier(f, 1)
 			bounds := s.Bounds(tier, f)
 			counted := pending
-			if bounds.Whole {
+			if bounds.CountOwnPrompt {
 				counted += tokens
 			}
-			if !s.Open(tier, f.Standing) || counted/reads > bounds.Budget.Seconds() {
+			if !s.TierOpen(tier, f.Usage) || counted/reads > bounds.Budget.Seconds() {
 				continue
 			}
 			pending += tokens
@@ -144,15 +144,15 @@
 func TestLateAnswersLowerTheHeadroom(t *testing.T) {
 	var headroom Headroom
 	for range 60 {
-		headroom.Note(true)
+		headroom.Observe(true)
 	}
-	if part := headroom.Part(settings.LeastHeadroom); math.Abs(part-settings.LeastHeadroom) > 1e-9 {
+	if part := headroom.Value(settings.LeastHeadroom); math.Abs(part-settings.LeastHeadroom) > 1e-9 {
 		t.Errorf("headroom %v after 60 late answers, want the least", part)
 	}
 	for range 1200 {
-		headroom.Note(false)
+		headroom.Observe(false)
 	}
-	if part := headroom.Part(settings.LeastHeadroom); part < 0.99 {
+	if part := headroom.Value(settings.LeastHeadroom); part < 0.99 {
 		t.Errorf("headroom %v after 1,200 answers in time", part)
 	}
 }
@@ -161,8 +161,8 @@
 func TestFewLateAnswersLeaveTheHeadroom(t *testing.T) {
 	var headroom Headroom
 	for i := range 10_000 {
-		headroom.Note(i%50 == 0)
-		if part := headroom.Part(settings.LeastHeadroom); part < 0.9 {
+		headroom.Observe(i%50 == 0)
+		if part := headroom.Value(settings.LeastHeadroom); part < 0.9 {
 			t.Fatalf("headroom %v with one late answer in fifty", part)
 		}
 	}
@@ -191,17 +191,17 @@
 		s := settings
 		s.SurplusMost = rapid.Float64Range(1, 4).Draw(t, "most")
 		f := facts(rapid.Float64Range(1.001, 6).Draw(t, "got"))
-		f.Tightest = time.Duration(rapid.IntRange(0, 2000).Draw(t, "tightest")) * time.Millisecond
-		f.Target = f.Tightest + time.Duration(rapid.IntRange(0, 5000).Draw(t, "longer"))*time.Millisecond
+		f.ShortestTarget = time.Duration(rapid.IntRange(0, 2000).Draw(t, "tightest")) * time.Millisecond
+		f.Target = f.ShortestTarget + time.Duration(rapid.IntRange(0, 5000).Draw(t, "longer"))*time.Millisecond
 		odds := s.surplusOdds(f)
-		if f.Standing.Got > s.SurplusMost && odds != 0 {
+		if f.Usage.ShareUsed > s.SurplusMost && odds != 0 {
 			t.Fatalf("odds %v beyond the most", odds)
 		}
 		longer, higher, shorter := f, f, f
 		longer.Target += time.Second
-		higher.Standing.Got++
-		shorter.Standing.Shortage = 0.5
-		for name, worse := range map[string]Facts{"target latency": longer, "standing": higher, "shortage": shorter} {
+		higher.Usage.ShareUsed++
+		shorter.Usage.Shortage = 0.5
+		for name, worse := range map[string]ModelRequest{"target latency": longer, "standing": higher, "shortage": shorter} {
 			if later := s.surplusOdds(worse); later > odds {
 				t.Fatalf("odds rise from %v to %v with the %s", odds, later, name)
 			}
@@ -214,13 +214,13 @@
 // moments between owed requests.
 // Cause: such moments counted as idle, and what they served was not counted.
 func TestNothingIsIdleWhileEnginesFallShort(t *testing.T) {
-	if !settings.Open(TierIdle, Standing{Got: 5}) {
+	if !settings.TierOpen(TierIdle, AccountUsage{ShareUsed: 5}) {
 		t.Error("the idle tier is closed while there is enough")
 	}
-	if settings.Open(TierIdle, Standing{Got: 5, Shortage: 1}) {
+	if settings.TierOpen(TierIdle, AccountUsage{ShareUsed: 5, Shortage: 1}) {
 		t.Error("the idle tier is open while engines fall short")
 	}
-	if !settings.Open(TierOwed, Standing{Got: 0.5, Shortage: 1}) {
+	if !settings.TierOpen(TierOwed, AccountUsage{ShareUsed: 0.5, Shortage: 1}) {
 		t.Error("what is owed is refused")
 	}
 }
--- a/internal/policy/protect.go
+++ b/internal/policy/protect.go
@@ -48,12 +48,12 @@
 	return Protection{Gap: share(targetGap, s.GapShare), MayDisrupt: tier == TierOwed}
 }
 
-// Engines returns how many engines are looked at where the bounds name so many.
-func (p Protection) Engines(bounds Bounds) int {
+// MaxEngines returns how many engines are looked at where the bounds name so many.
+func (p Protection) MaxEngines(bounds Bounds) int {
 	if p.Gap == 0 {
-		return bounds.Engines
+		return bounds.MaxEngines
 	}
-	return max(bounds.Engines, selection.Homes+furtherEngines)
+	return max(bounds.MaxEngines, selection.Homes+furtherEngines)
 }
 
 // Allows tells whether a chosen engine may take the request.
--- a/internal/policy/protect_test.go
+++ b/internal/policy/protect_test.go
@@ -23,13 +23,13 @@
 // protected.
 func TestNoBoundWithoutAPromisedGap(t *testing.T) {
 	s := settings
-	bounds := Bounds{Engines: 2}
+	bounds := Bounds{MaxEngines: 2}
 	for name, protection := range map[string]Protection{
 		"switched off":   s.Protection(TierIdle, 300*time.Millisecond),
 		"no promise":     (&Settings{GapShare: 0.7}).Protection(TierIdle, 0),
 		"the zero value": {},
 	} {
-		if protection.Gap != 0 || protection.Engines(bounds) != 2 || protection.WeightExponent(time.Second) != 1 {
+		if protection.Gap != 0 || protection.MaxEngines(bounds) != 2 || protection.WeightExponent(time.Second) != 1 {
 			t.Errorf("%s: %+v", name, protection)
 		}
 	}
@@ -90,7 +90,7 @@
 		weights[i], hashes[i] = EngineWeight(speed, exponent), uint64(i+1)*0x9e3779b97f4a7c15
 	}
 	same := func(hash uint64) uint64 { return hash }
-	ranked := selection.RankWeighted(hashes, same, weights, key*0xbf58476d1ce4e5b9, protection.Engines(Bounds{Engines: selection.Homes}))
+	ranked := selection.RankWeighted(hashes, same, weights, key*0xbf58476d1ce4e5b9, protection.MaxEngines(Bounds{MaxEngines: selection.Homes}))
 	engine := func(place int) selection.Engine {
 		i := ranked[place]
 		return selection.Engine{Running: 10, Pending: pending[i], Rate: rate * speeds[i]}
--- a/internal/policy/readrate.go
+++ b/internal/policy/readrate.go
@@ -18,15 +18,15 @@
 	seconds float64 // decayed sum of the time that they took to begin
 }
 
-// Note takes the first event of a request: pending prompt tokens, its own
+// Observe takes the first event of a request: pending prompt tokens, its own
 // included, were waiting when it was sent.
-func (r *ReadRate) Note(pending float64, took time.Duration) {
+func (r *ReadRate) Observe(pending float64, took time.Duration) {
 	r.tokens = r.tokens*rateMemory + pending
 	r.seconds = r.seconds*rateMemory + took.Seconds()
 }
 
-// Rate returns what was learned; assumed is the figure before any observation.
-func (r *ReadRate) Rate(assumed float64) float64 {
+// Estimate returns what was learned; assumed is the figure before any observation.
+func (r *ReadRate) Estimate(assumed float64) float64 {
 	return (r.tokens + assumed*ratePrior) / (r.seconds + ratePrior)
 }
 
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -15,10 +15,10 @@
 	return max(share(target, s.RetryShare), leastRetry)
 }
 
-// RetryInTurn returns the time to come back for a request whose account will have got so
+// RetryAfterByUsage returns the time to come back for a request whose account will have got so
 // much of its share. Callers come back spread over a span of time, those of accounts that
 // had least in its first half. draw is a random number in [0, 1).
-func (s *Settings) RetryInTurn(target time.Duration, got, draw float64) time.Duration {
+func (s *Settings) RetryAfterByUsage(target time.Duration, got, draw float64) time.Duration {
 	const most = 2 // of a share; who got more comes no later than that
 	turn := (min(got, most)/most + draw) / 2
 	part := 1 + s.RetrySpread*(2*turn-1)
--- a/internal/policy/retry_test.go
+++ b/internal/policy/retry_test.go
@@ -17,7 +17,7 @@
 		highest := 0
 		for range callers {
 			refused := time.Duration(random.Float64() * float64(interval))
-			after := refused + s.RetryInTurn(1500*time.Millisecond, random.Float64()*2, random.Float64())
+			after := refused + s.RetryAfterByUsage(1500*time.Millisecond, random.Float64()*2, random.Float64())
 			slot := after / interval
 			returns[slot]++
 			highest = max(highest, returns[slot])
@@ -38,14 +38,14 @@
 	s := Defaults()
 	s.RetrySpread = 0.5
 	for _, draw := range []float64{0, 0.5, 0.999} {
-		if little, much := s.RetryInTurn(time.Second, 0.2, draw), s.RetryInTurn(time.Second, 3, draw); little >= much {
+		if little, much := s.RetryAfterByUsage(time.Second, 0.2, draw), s.RetryAfterByUsage(time.Second, 3, draw); little >= much {
 			t.Errorf("draw %v: %v for little, %v for much", draw, little, much)
 		}
 	}
-	if latest, earliest := s.RetryInTurn(time.Second, 0, 0.999), s.RetryInTurn(time.Second, 3, 0); latest > earliest {
+	if latest, earliest := s.RetryAfterByUsage(time.Second, 0, 0.999), s.RetryAfterByUsage(time.Second, 3, 0); latest > earliest {
 		t.Errorf("%v for nothing, %v for more than twice the share", latest, earliest)
 	}
-	if got := s.RetryInTurn(0, 0, 0); got != leastRetry {
+	if got := s.RetryAfterByUsage(0, 0, 0); got != leastRetry {
 		t.Errorf("%v without a target", got)
 	}
 }
@@ -54,7 +54,7 @@
 func TestNoSpreadTellsAllTheSame(t *testing.T) {
 	s := Defaults()
 	for _, got := range []float64{0, 1, 5} {
-		if after := s.RetryInTurn(time.Second, got, rand.Float64()); after != s.RetryAfter(time.Second) {
+		if after := s.RetryAfterByUsage(time.Second, got, rand.Float64()); after != s.RetryAfter(time.Second) {
 			t.Errorf("%v after %v of the share", after, got)
 		}
 	}
--- a/internal/policy/servicetime.go
+++ b/internal/policy/servicetime.go
@@ -20,8 +20,8 @@
 	serviceTimeStep = 4
 )
 
-// PlainSent is a request that has been sent to a plain server.
-type PlainSent struct {
+// SentPlainRequest is a request that has been sent to a plain server.
+type SentPlainRequest struct {
 	At     boottime.Instant
 	Rounds float64 // see PlainRounds
 }
@@ -30,24 +30,24 @@
 type ServiceTime struct {
 	seconds float64
 	answers int // up to serviceTimeFirst
-	open    map[*PlainSent]struct{}
+	open    map[*SentPlainRequest]struct{}
 	passed  boottime.Instant // when the last of the answered requests was sent
 }
 
 // Begin notes that a request is sent.
-func (s *ServiceTime) Begin(sent *PlainSent) {
+func (s *ServiceTime) Begin(sent *SentPlainRequest) {
 	if s.open == nil {
-		s.open = make(map[*PlainSent]struct{})
+		s.open = make(map[*SentPlainRequest]struct{})
 	}
 	s.open[sent] = struct{}{}
 }
 
 // End notes that a request is not at the server any more.
-func (s *ServiceTime) End(sent *PlainSent) { delete(s.open, sent) }
+func (s *ServiceTime) End(sent *SentPlainRequest) { delete(s.open, sent) }
 
-// Note takes a valid answer after the time since it was sent. Others are not noted:
+// Observe takes a valid answer after the time since it was sent. Others are not noted:
 // a server that answers errors at once does no work.
-func (s *ServiceTime) Note(sent *PlainSent, took time.Duration) {
+func (s *ServiceTime) Observe(sent *SentPlainRequest, took time.Duration) {
 	s.passed = max(s.passed, sent.At)
 	work := took.Seconds() / sent.Rounds
 	switch {
@@ -87,10 +87,10 @@
 	return work
 }
 
-// Rest returns how long a request that has failed still counts as one at its server:
+// RemainingTime returns how long a request that has failed still counts as one at its server:
 // until its answer would have been there. A server that answers errors at once would
 // else seem to have free slots and draw the requests that wait elsewhere.
-func (s *ServiceTime) Rest(sent *PlainSent, now boottime.Instant) time.Duration {
+func (s *ServiceTime) RemainingTime(sent *SentPlainRequest, now boottime.Instant) time.Duration {
 	due := time.Duration(s.seconds * sent.Rounds * float64(time.Second))
 	return max(due-now.Sub(sent.At), 0)
 }
--- a/internal/policy/servicetime_test.go
+++ b/internal/policy/servicetime_test.go
@@ -14,7 +14,7 @@
 func TestFirstAnswersDoNotCountTheirWait(t *testing.T) {
 	var times ServiceTime
 	for _, rounds := range []int{5, 3, 1, 4, 6} {
-		times.Note(&PlainSent{Rounds: 1}, time.Duration(rounds)*work)
+		times.Observe(&SentPlainRequest{Rounds: 1}, time.Duration(rounds)*work)
 	}
 	if got := times.Learned(); got != work {
 		t.Errorf("%v, want %v", got, work)
@@ -27,13 +27,13 @@
 	var times ServiceTime
 	for range 20 {
 		rounds := PlainRounds(17, 6)
-		times.Note(&PlainSent{Rounds: rounds}, share(work, rounds))
+		times.Observe(&SentPlainRequest{Rounds: rounds}, share(work, rounds))
 	}
 	if got := times.Learned().Round(time.Millisecond); got != work {
 		t.Errorf("%v, want %v", got, work)
 	}
 	for range 50 {
-		times.Note(&PlainSent{Rounds: 1}, 3*work)
+		times.Observe(&SentPlainRequest{Rounds: 1}, 3*work)
 	}
 	if got := times.Learned(); got < 2*work || got > 3*work {
 		t.Errorf("%v after answers of %v", got, 3*work)
@@ -44,7 +44,7 @@
 func TestOpenRequestsRaiseTheServiceTime(t *testing.T) {
 	var times ServiceTime
 	start := boottime.Instant(time.Hour)
-	sent := &PlainSent{At: start, Rounds: 2}
+	sent := &SentPlainRequest{At: start, Rounds: 2}
 	times.Begin(sent)
 	if got := times.At(start, work); got != work {
 		t.Errorf("%v before anything is known, want what is assumed", got)
@@ -52,7 +52,7 @@
 	if got := times.At(start.Add(time.Second), work); got != time.Second/2 {
 		t.Errorf("%v after a second for two rounds", got)
 	}
-	times.Note(&PlainSent{At: start.Add(time.Millisecond), Rounds: 1}, work)
+	times.Observe(&SentPlainRequest{At: start.Add(time.Millisecond), Rounds: 1}, work)
 	if got := times.At(start.Add(time.Second), 0); got != work {
 		t.Errorf("%v, but the server went on with later requests", got)
 	}
@@ -67,15 +67,15 @@
 // Guards against a request that failed at once leaving room that is not there.
 func TestFailedRequestsCountUntilTheirAnswerWasDue(t *testing.T) {
 	var times ServiceTime
-	sent := &PlainSent{At: boottime.Instant(time.Hour), Rounds: 2}
-	if got := times.Rest(sent, sent.At); got != 0 {
+	sent := &SentPlainRequest{At: boottime.Instant(time.Hour), Rounds: 2}
+	if got := times.RemainingTime(sent, sent.At); got != 0 {
 		t.Errorf("%v while nothing is known", got)
 	}
-	times.Note(sent, 2*work)
-	if got := times.Rest(sent, sent.At.Add(work/2)); got != 3*work/2 {
+	times.Observe(sent, 2*work)
+	if got := times.RemainingTime(sent, sent.At.Add(work/2)); got != 3*work/2 {
 		t.Errorf("%v, want %v", got, 3*work/2)
 	}
-	if got := times.Rest(sent, sent.At.Add(time.Second)); got != 0 {
+	if got := times.RemainingTime(sent, sent.At.Add(time.Second)); got != 0 {
 		t.Errorf("%v after it was due", got)
 	}
 }
@@ -88,7 +88,7 @@
 	for step := range 1000 {
 		now = now.Add(10 * time.Millisecond)
 		own := step % 20
-		if got := load.Expect(PlainSeen{Own: own, Slots: 6, Routers: 1}, 0.999, now); got != own {
+		if got := load.Estimate(PlainCounts{Own: own, Slots: 6, Routers: 1}, 0.999, now); got != own {
 			t.Fatalf("%d expected, there are %d", got, own)
 		}
 	}
@@ -99,13 +99,13 @@
 func TestCrowdedServerIsJudgedByOwnRequests(t *testing.T) {
 	var load PlainLoad
 	now := boottime.Instant(time.Hour)
-	seen := PlainSeen{Own: 2, Others: 38, Slots: 6, Routers: 20}
+	seen := PlainCounts{Own: 2, Others: 38, Slots: 6, Routers: 20}
 	for range 1000 {
 		now = now.Add(10 * time.Millisecond)
-		load.Expect(seen, 0, now)
+		load.Estimate(seen, 0, now)
 	}
 	seen.Own = 4
-	if got := load.Expect(seen, 0, now); got < 76 || got > 80 {
+	if got := load.Estimate(seen, 0, now); got < 76 || got > 80 {
 		t.Errorf("%d expected, want about 80", got)
 	}
 }
@@ -115,14 +115,14 @@
 func TestEarlierMomentLeavesTheAveragesAlone(t *testing.T) {
 	var load PlainLoad
 	now := boottime.Instant(time.Hour)
-	seen := PlainSeen{Own: 2, Others: 38, Slots: 6, Routers: 20}
+	seen := PlainCounts{Own: 2, Others: 38, Slots: 6, Routers: 20}
 	for range 1000 {
 		now = now.Add(10 * time.Millisecond)
-		load.Expect(seen, 0, now)
+		load.Estimate(seen, 0, now)
 	}
 	seen.Own = 4
 	for _, moment := range []boottime.Instant{now.Add(-10 * time.Second), now} {
-		if got := load.Expect(seen, 0, moment); got < 76 || got > 80 {
+		if got := load.Estimate(seen, 0, moment); got < 76 || got > 80 {
 			t.Errorf("%d expected %v before, want about 80", got, now.Sub(moment))
 		}
 	}
@@ -134,10 +134,10 @@
 	var learned ServiceTime
 	now := boottime.Instant(time.Hour)
 	for range 20 {
-		learned.Note(&PlainSent{At: now, Rounds: 1}, 60*time.Millisecond)
+		learned.Observe(&SentPlainRequest{At: now, Rounds: 1}, 60*time.Millisecond)
 	}
 	for range 3 {
-		learned.Note(&PlainSent{At: now, Rounds: 1}, 5*time.Second)
+		learned.Observe(&SentPlainRequest{At: now, Rounds: 1}, 5*time.Second)
 	}
 	if got := learned.Learned(); got > 150*time.Millisecond {
 		t.Errorf("%v learned, want some 60 ms", got)
--- a/internal/policy/tier.go
+++ b/internal/policy/tier.go
@@ -38,40 +38,40 @@
 // String returns the tier's name.
 func (t Tier) String() string { return tierNames[t] }
 
-// Standing is what is known of a request's account when it arrives.
-type Standing struct {
-	// Got is how much of its share the account will have got with the request:
+// AccountUsage is what is known of a request's account when it arrives.
+type AccountUsage struct {
+	// ShareUsed is how much of its share the account will have got with the request:
 	// up to 1 it stays within it.
-	Got float64
-	// Whole is how much of its even part of all that is served it will have got,
+	ShareUsed float64
+	// EvenShareUsed is how much of its even part of all that is served it will have got,
 	// idle capacity included.
-	Whole float64
+	EvenShareUsed float64
 	// Shortage is the part of the stated capacity that the engines lack, from 0
 	// to 1.
 	Shortage float64
 }
 
-// Owed tells whether the request is within its account's share.
-func (s Standing) Owed() bool { return s.Got <= 1 }
+// WithinShare tells whether the request is within its account's share.
+func (s AccountUsage) WithinShare() bool { return s.ShareUsed <= 1 }
 
-// Facts are what a request's tier and bounds rest on.
-type Facts struct {
-	Standing Standing
-	Target   time.Duration // of the request's route
-	Tightest time.Duration // shortest target latency of the service
-	Rank     int           // how many priorities in use are more urgent
-	Headroom float64       // see Headroom
-	// Again tells that the request was admitted before and declined by an
+// ModelRequest are what a request's tier and bounds rest on.
+type ModelRequest struct {
+	Usage          AccountUsage
+	Target         time.Duration // of the request's route
+	ShortestTarget time.Duration // shortest target latency of the service
+	Rank           int           // how many priorities in use are more urgent
+	Headroom       float64       // see Headroom
+	// DeclinedBefore tells that the request was admitted before and declined by an
 	// engine.
-	Again bool
+	DeclinedBefore bool
 }
 
 // Tier returns the tier of a request. draw is a random number in [0, 1).
-func (s *Settings) Tier(facts Facts, draw float64) Tier {
+func (s *Settings) Tier(facts ModelRequest, draw float64) Tier {
 	switch {
-	case facts.Standing.Owed():
+	case facts.Usage.WithinShare():
 		return TierOwed
-	case facts.Again, draw < s.surplusOdds(facts):
+	case facts.DeclinedBefore, draw < s.surplusOdds(facts):
 		return TierSurplus
 	}
 	return TierIdle
@@ -80,18 +80,18 @@
 // idleShortage is the shortage from which nothing counts as idle.
 const idleShortage = 0.5
 
-// Open tells whether the tier takes requests at all at present. While engines
+// TierOpen tells whether the tier takes requests at all at present. While engines
 // fall short of what accounts are owed, an engine with nothing to do is only
 // between two owed requests. Whoever asks most would get most of these moments,
 // uncounted: an account got 319,167 tokens in six seconds so, while another that
 // had less than its share got 88,539 of 2,085,673 asked.
 //
 // What is idle is shared nearly evenly too, or it would all be the largest account's.
-func (s *Settings) Open(tier Tier, standing Standing) bool {
+func (s *Settings) TierOpen(tier Tier, standing AccountUsage) bool {
 	if tier != TierIdle {
 		return true
 	}
-	return s.IdleSlots > 0 && standing.Shortage < idleShortage && standing.Whole <= s.IdleMost
+	return s.IdleSlots > 0 && standing.Shortage < idleShortage && standing.EvenShareUsed <= s.IdleMost
 }
 
 // surplusOdds returns the probability at which what goes beyond the share is
@@ -101,13 +101,13 @@
 //
 // Engines that fall short of the stated capacity leave no surplus: it would be
 // taken from accounts that have had less than their share.
-func (s *Settings) surplusOdds(facts Facts) float64 {
-	most := 1 + (s.SurplusMost-1)*(1-facts.Standing.Shortage)
+func (s *Settings) surplusOdds(facts ModelRequest) float64 {
+	most := 1 + (s.SurplusMost-1)*(1-facts.Usage.Shortage)
 	switch {
-	case facts.Standing.Got > most:
+	case facts.Usage.ShareUsed > most:
 		return 0
-	case facts.Target <= facts.Tightest:
+	case facts.Target <= facts.ShortestTarget:
 		return 1
 	}
-	return math.Pow(facts.Tightest.Seconds()/facts.Target.Seconds(), s.SurplusExponent)
+	return math.Pow(facts.ShortestTarget.Seconds()/facts.Target.Seconds(), s.SurplusExponent)
 }
