--- a/internal/gate/candidates.go
+++ b/internal/gate/candidates.go
@@ -14,7 +14,7 @@
 	serving := view.Serving[service]
 	shunned := a.loads.shunnedNow(now)
 	closed := a.closures.at(now)
-	if len(excluded)+len(view.Absent)+len(shunned)+len(closed) == 0 {
+	if len(excluded)+len(view.MissingSince)+len(shunned)+len(closed) == 0 {
 		return serving
 	}
 	sound := make([]*knowledge.Backend, 0, len(serving))
@@ -23,7 +23,7 @@
 		if excluded[backend.ID] || closed[backend.Incarnation] != 0 {
 			continue
 		}
-		if _, absent := view.Absent[backend.ID]; absent || shunned[backend.Incarnation] {
+		if _, absent := view.MissingSince[backend.ID]; absent || shunned[backend.Incarnation] {
 			last = append(last, backend)
 			continue
 		}
--- a/internal/gate/cold.go
+++ b/internal/gate/cold.go
@@ -98,7 +98,7 @@
 // their entries tell only with their next heartbeat.
 func (c *coldServers) coldUntil(view *knowledge.View, settings *knowledge.ServiceSettings, backend *knowledge.Backend) boottime.Instant {
 	until := max(backend.ColdUntil, c.warned[backend.Incarnation])
-	if returned, ok := view.Evacuations.Returned[backend.Zone]; ok {
+	if returned, ok := view.Evacuations.ReturnedAt[backend.Zone]; ok {
 		until = max(until, returned.Add(settings.ColdStart))
 	}
 	return until
--- a/internal/gate/cold_test.go
+++ b/internal/gate/cold_test.go
@@ -25,8 +25,8 @@
 	}, boottime.Now())
 	state.SetBackends([]knowledge.Backend{
 		{ID: "i-1", Service: "s", Zone: "a", Position: knowledge.Position{Revision: 3}},
-		{ID: "i-2", Service: "s", Zone: "b", Position: knowledge.Position{Revision: 4}, ColdLeft: left},
-		{ID: "i-3", Service: "plain", Zone: "b", Position: knowledge.Position{Revision: 5}, ColdLeft: left},
+		{ID: "i-2", Service: "s", Zone: "b", Position: knowledge.Position{Revision: 4}, ColdRemaining: left},
+		{ID: "i-3", Service: "plain", Zone: "b", Position: knowledge.Position{Revision: 5}, ColdRemaining: left},
 	}, knowledge.Position{Revision: 5}, boottime.Now())
 	return state
 }
@@ -75,17 +75,17 @@
 	state := coldState(coldStart)
 	until := state.View().Backends["i-2"].ColdUntil
 	time.Sleep(20 * time.Millisecond)
-	again := knowledge.Backend{ID: "i-2", Service: "s", Zone: "b", Position: knowledge.Position{Revision: 4}, ColdLeft: coldStart}
+	again := knowledge.Backend{ID: "i-2", Service: "s", Zone: "b", Position: knowledge.Position{Revision: 4}, ColdRemaining: coldStart}
 	state.SetBackends([]knowledge.Backend{again}, knowledge.Position{Revision: 6}, boottime.Now())
 	if got := state.View().Backends["i-2"].ColdUntil; got != until {
 		t.Errorf("cold for %v longer", got.Sub(until))
 	}
-	again.Revision, again.ColdLeft = 7, 2*coldStart
+	again.Revision, again.ColdRemaining = 7, 2*coldStart
 	setBackend(state, again, 7)
 	if got := state.View().Backends["i-2"].ColdUntil; got <= until.Add(coldStart) {
 		t.Error("a server that turned cold again is not")
 	}
-	again.Revision, again.ColdLeft = 8, 0
+	again.Revision, again.ColdRemaining = 8, 0
 	setBackend(state, again, 8)
 	if got := state.View().Backends["i-2"].ColdUntil; got != 0 {
 		t.Error("a server that says that it is warm is cold")
@@ -134,5 +134,5 @@
 // setBackend takes the newest entry of one backend server.
 func setBackend(state *knowledge.State, backend knowledge.Backend, revision uint64) {
 	backend.Position = knowledge.Position{Revision: revision}
-	state.ChangeBackends([]knowledge.BackendChange{{ID: backend.ID, Entry: &backend}}, backend.Position)
+	state.ApplyBackendChanges([]knowledge.BackendChange{{ID: backend.ID, Entry: &backend}}, backend.Position)
 }
--- a/internal/gate/decisions_test.go
+++ b/internal/gate/decisions_test.go
@@ -25,8 +25,8 @@
 func knownView(configured boottime.Instant) *knowledge.View {
 	state := knowledge.NewState()
 	state.SetConfiguration(&knowledge.Configuration{
-		Version: 1,
-		Keyed:   true,
+		Version:      1,
+		KeysRequired: true,
 		Routes: []knowledge.Route{
 			{Host: "h", PathPrefix: "/a/", Timeout: time.Second, Destinations: []knowledge.Destination{{Service: "s", Weight: 1}}},
 			{Host: "h", PathPrefix: "/p/", Public: true, Destinations: []knowledge.Destination{{Service: "s", Weight: 1}}},
--- a/internal/gate/entry_test.go
+++ b/internal/gate/entry_test.go
@@ -168,7 +168,7 @@
 		"started while the store is away": {time.Hour, 0, false},
 	} {
 		view := *known.View()
-		view.Contact = now.Add(-test.own)
+		view.StoreContact = now.Add(-test.own)
 		peers := contactPeers{}
 		if test.others != 0 {
 			peers.contact = now.Add(-test.others)
--- a/internal/gate/holder.go
+++ b/internal/gate/holder.go
@@ -41,7 +41,7 @@
 		return true
 	}
 	most := time.Duration(float64(a.settings.get().Evacuate) * fetchShare)
-	return now.Sub(view.Evacuations.Heard[engine.Zone]) < most
+	return now.Sub(view.Evacuations.ObservedAt[engine.Zone]) < most
 }
 
 // holder returns the address of the engine that probably keeps more of the prompt than
@@ -86,7 +86,7 @@
 // young tells whether the engine has hardly read any of its parts yet: it has just
 // appeared, or its zone was just taken back and it may have started again meanwhile.
 func young(engine *knowledge.Backend, view *knowledge.View, now boottime.Instant) bool {
-	since := max(engine.Appeared, view.Evacuations.Returned[engine.Zone])
+	since := max(engine.FirstSeen, view.Evacuations.ReturnedAt[engine.Zone])
 	return since != 0 && now.Sub(since) < youngFor
 }
 
--- a/internal/gate/holder_test.go
+++ b/internal/gate/holder_test.go
@@ -100,7 +100,7 @@
 	f := newPartFleet()
 	f.list(0, 1, 2)
 	leaving := entryOf(f.ids[0])
-	leaving.Leaving = true
+	leaving.Draining = true
 	setBackend(f.state, leaving, 50)
 	if got := f.holder(1, boottime.Now()); got != 0 {
 		t.Errorf("fetched from engine %d, want the one that leaves", got)
--- a/internal/gate/identify.go
+++ b/internal/gate/identify.go
@@ -85,12 +85,12 @@
 	if !view.Ready() {
 		return &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonNoKnowledge, RetryAfter: startRetry}
 	}
-	age := boottime.Now().Sub(view.Configured)
+	age := boottime.Now().Sub(view.ConfigurationConfirmedAt)
 	request.Route = view.Index.Route(request.Host, request.Path)
 	if request.Route == nil {
 		return unknown(http.StatusNotFound, ReasonNoRoute, age, fresh)
 	}
-	if view.Index.Configuration.Keyed && !request.Route.Public {
+	if view.Index.Configuration.KeysRequired && !request.Route.Public {
 		request.Account = view.Index.Account(request.Key)
 		if request.Account == nil {
 			return unknown(http.StatusUnauthorized, ReasonNoAccount, age, fresh)
--- a/internal/gate/keptparts_test.go
+++ b/internal/gate/keptparts_test.go
@@ -52,7 +52,7 @@
 // An engine that started again keeps nothing.
 func TestKeeperThatStartedAgainKeepsNothing(t *testing.T) {
 	state := knowledge.NewState()
-	backend := knowledge.Backend{ID: "i", Service: "s", Address: "10.0.0.1:1", Born: 1}
+	backend := knowledge.Backend{ID: "i", Service: "s", Address: "10.0.0.1:1", StartedAt: 1}
 	state.SetBackends([]knowledge.Backend{backend}, knowledge.Position{Revision: 1}, boottime.Now())
 	kept := newKeptParts()
 	before := state.View()
@@ -60,7 +60,7 @@
 	if kept.keeper("part", before) != before.Backends["i"] || kept.keeper("other", before) != nil {
 		t.Error("the engine that read the part is not the one that keeps it")
 	}
-	backend.Born = 2
+	backend.StartedAt = 2
 	state.SetBackends([]knowledge.Backend{backend}, knowledge.Position{Revision: 2}, boottime.Now())
 	if keeper := kept.keeper("part", state.View()); keeper != nil {
 		t.Errorf("%+v keeps a part that its start before it read", keeper)
--- a/internal/gate/manager.go
+++ b/internal/gate/manager.go
@@ -178,7 +178,7 @@
 	}
 	most := time.Duration(float64(m.handler.settings.get().Revoke) * contactShare)
 	others := m.options.Peers.Contact()
-	return others != 0 && others.Sub(view.Contact) > most
+	return others != 0 && others.Sub(view.StoreContact) > most
 }
 
 // The reasons why a router takes no connections.
@@ -222,20 +222,20 @@
 			continue
 		}
 		m.handler.pool.Forget(known.Address)
-		event.GateReborn.Log(m.options.Logger, logrus.Fields{"backend": id, "born": backend.Born})
+		event.GateReborn.Log(m.options.Logger, logrus.Fields{"backend": id, "born": backend.StartedAt})
 	}
 }
 
 // logStore tells that the store has come back from an older copy.
 func (m *Manager) logStore(before, view *knowledge.View) {
 	m.handler.metrics.storeEra(view.Position.Era)
-	if view.WentBack == before.WentBack {
+	if view.RestoredAt == before.RestoredAt {
 		return
 	}
 	event.GateStoreRestored.Log(m.options.Logger, logrus.Fields{
 		"era": view.Position.Era, "revision": view.Position.Revision,
 		"era_before": before.Position.Era, "revision_before": before.Position.Revision,
-		"kept": view.KeptFromBefore(),
+		"kept": view.RetainedFromOlderEra(),
 	})
 }
 
@@ -263,7 +263,7 @@
 	var leaving []string
 	for id, backend := range view.Backends {
 		known := before.Backends[id]
-		if backend.Leaving && (known == nil || !known.Leaving) {
+		if backend.Draining && (known == nil || !known.Draining) {
 			leaving = append(leaving, id)
 		}
 	}
--- a/internal/gate/place_model.go
+++ b/internal/gate/place_model.go
@@ -79,7 +79,7 @@
 	if !a.paces.told(request.Service) {
 		return search
 	}
-	search.protection = a.policy().Protection(tier, view.Index.Gap(request.Service))
+	search.protection = a.policy().Protection(tier, view.Index.MinTargetGap(request.Service))
 	search.limits.Gap = search.protection.Gap
 	reading := selection.ReadingTime(search.demand.Own, search.limits.Rate)
 	search.ranking = ranking{
@@ -148,7 +148,7 @@
 	return policy.ModelRequest{
 		Usage:          a.standing(request, view.Index.Configuration.Limits.TokensPerSecond, now),
 		Target:         request.Route.TargetLatency,
-		ShortestTarget: view.Index.Tightest(request.Service),
+		ShortestTarget: view.Index.MinTargetLatency(request.Service),
 		Rank:           view.Index.Rank(request.Service, request.Route, request.Account),
 		Headroom:       a.loads.headroom(request.Service, a.leastHeadroom(request.Service)),
 		DeclinedBefore: again,
--- a/internal/gate/plain_test.go
+++ b/internal/gate/plain_test.go
@@ -167,7 +167,7 @@
 	m := plainGate(t, PlainSettings{}, func(http.ResponseWriter, *http.Request) { arrived.Add(1) })
 	configure := func(version uint64, keys ...string) {
 		m.handler.state.SetConfiguration(&knowledge.Configuration{
-			Version: version, Keyed: true,
+			Version: version, KeysRequired: true,
 			Routes: []knowledge.Route{{
 				Name: "commit", PathPrefix: "/", Host: "h", Repeat: knowledge.RepeatNever, Timeout: 3 * time.Second,
 				Destinations: []knowledge.Destination{{Service: "s", Weight: 1}},
--- a/internal/gate/records.go
+++ b/internal/gate/records.go
@@ -105,7 +105,7 @@
 	}
 	view := r.state.View()
 	fields["config_version"] = view.Version()
-	fields["config_age_ms"] = boottime.Now().Sub(view.Configured).Milliseconds()
+	fields["config_age_ms"] = boottime.Now().Sub(view.ConfigurationConfirmedAt).Milliseconds()
 	which.Log(r.logger, fields)
 }
 
--- a/internal/knowledge/backend_list.go
+++ b/internal/knowledge/backend_list.go
@@ -18,10 +18,10 @@
 // after an outage.
 const outageLeast = 3 * time.Second
 
-// ListedWithin tells by which age the list is renewed while the store answers. Where that
+// SetListRefreshInterval tells by which age the list is renewed while the store answers. Where that
 // is longer than the age at which an outage is assumed, each backend server that is lost
 // would be taken for one whose entry may come back.
-func (s *State) ListedWithin(age time.Duration) {
+func (s *State) SetListRefreshInterval(age time.Duration) {
 	s.update(func(view *View) bool {
 		view.outageAge = max(age, outageLeast)
 		return false
@@ -36,11 +36,11 @@
 			return false
 		}
 		now := boottime.Now()
-		wentBack := view.Listed != 0 && at.Era > view.Position.Era
+		wentBack := view.ListConfirmedAt != 0 && at.Era > view.Position.Era
 		if wentBack {
-			view.WentBack = now
+			view.RestoredAt = now
 		}
-		if wentBack || view.Listed == 0 {
+		if wentBack || view.ListConfirmedAt == 0 {
 			view.tracedFrom = at
 		}
 		listed, absent := view.merge(backends, view.misses(at, confirmed), now)
@@ -51,7 +51,7 @@
 // misses tells whether backend servers that a list lacks may write their entries again: it
 // is the first one after an outage, or since the store came back from an older copy.
 func (v *View) misses(at Position, confirmed boottime.Instant) bool {
-	return v.Listed != 0 && (at.Era > v.Position.Era || confirmed.Sub(v.Listed) > v.outageAge)
+	return v.ListConfirmedAt != 0 && (at.Era > v.Position.Era || confirmed.Sub(v.ListConfirmedAt) > v.outageAge)
 }
 
 // replace takes the list as it was at the position, complete at the moment confirmed. It
@@ -63,9 +63,9 @@
 		v.setBackends(listed)
 		v.noteRemovals(before, at, now)
 	}
-	v.Absent = absent
+	v.MissingSince = absent
 	v.Position = at
-	v.Listed = max(v.Listed, confirmed)
+	v.ListConfirmedAt = max(v.ListConfirmedAt, confirmed)
 	return changed
 }
 
@@ -96,7 +96,7 @@
 // keptMissing tells whether a known backend server that is missing still counts, and
 // since when it is missed.
 func (v *View) keptMissing(id string, misses bool, now boottime.Instant) (since boottime.Instant, kept bool) {
-	since, missed := v.Absent[id]
+	since, missed := v.MissingSince[id]
 	if !missed && !misses {
 		return 0, false
 	}
@@ -112,12 +112,12 @@
 	Entry *Backend // the newest entry, nil for one that was removed
 }
 
-// ChangeBackends takes changes in their order, which are all up to the position. They are
+// ApplyBackendChanges takes changes in their order, which are all up to the position. They are
 // taken together, because each new view costs as much as the list is long, and a zone that
 // comes back brings thousands of changes.
-func (s *State) ChangeBackends(changes []BackendChange, upTo Position) {
+func (s *State) ApplyBackendChanges(changes []BackendChange, upTo Position) {
 	s.update(func(view *View) bool {
-		if view.Listed == 0 || upTo.Era < view.Position.Era {
+		if view.ListConfirmedAt == 0 || upTo.Era < view.Position.Era {
 			return false // changes of what the store has lost say nothing of what it has
 		}
 		now := boottime.Now()
@@ -160,8 +160,8 @@
 // at the moment.
 func (s *State) ConfirmBackends(digest uint64, confirmed boottime.Instant) {
 	s.update(func(view *View) bool {
-		if view.Listed != 0 && view.Digest == digest && len(view.Absent) == 0 {
-			view.Listed = max(view.Listed, confirmed)
+		if view.ListConfirmedAt != 0 && view.Digest == digest && len(view.MissingSince) == 0 {
+			view.ListConfirmedAt = max(view.ListConfirmedAt, confirmed)
 		}
 		return false
 	})
--- a/internal/knowledge/backends.go
+++ b/internal/knowledge/backends.go
@@ -25,7 +25,7 @@
 	for service, group := range v.ByService {
 		slices.SortFunc(group, func(a, b *Backend) int { return cmp.Compare(a.ID, b.ID) })
 		v.Serving[service] = lo.Filter(group, func(backend *Backend, _ int) bool {
-			return !backend.Leaving && !v.Evacuations.Has(backend.Zone)
+			return !backend.Draining && !v.Evacuations.Has(backend.Zone)
 		})
 	}
 	v.Digest = digest(backends)
@@ -45,26 +45,26 @@
 // next one; it must not bring the dead one back.
 func (v *View) newest(known, told *Backend, now boottime.Instant) *Backend {
 	if known != nil {
-		if told.Born == 0 {
-			told.Born = known.Born // nothing is told of a new start
+		if told.StartedAt == 0 {
+			told.StartedAt = known.StartedAt // nothing is told of a new start
 		}
-		if told.Born < known.Born || told.Born == known.Born && v.outdated(known, told, now) {
+		if told.StartedAt < known.StartedAt || told.StartedAt == known.StartedAt && v.outdated(known, told, now) {
 			return known
 		}
 	}
 	told.ColdUntil = coldUntil(known, told)
-	told.Incarnation = incarnation(told.ID, told.Born)
+	told.Incarnation = incarnation(told.ID, told.StartedAt)
 	told.IncarnationHash = IncarnationHash(told.Incarnation)
 	told.IDHash = xxhash.Sum64String(told.ID)
 	// Of a cold server only that it is: how long it stays so changes all the time,
 	// and each change would have the list taken by all routers.
-	told.entryHash = xxhash.Sum64String(fmt.Sprintf("%s %d %s %s %t %t", told.ID, told.Born, told.Service, told.Address, told.Leaving, told.ColdLeft > 0))
-	told.Appeared = now
-	if v.Listed == 0 {
-		told.Appeared = 0 // it may have been there for long
+	told.entryHash = xxhash.Sum64String(fmt.Sprintf("%s %d %s %s %t %t", told.ID, told.StartedAt, told.Service, told.Address, told.Draining, told.ColdRemaining > 0))
+	told.FirstSeen = now
+	if v.ListConfirmedAt == 0 {
+		told.FirstSeen = 0 // it may have been there for long
 	}
 	if known != nil && known.Incarnation == told.Incarnation {
-		told.Appeared = known.Appeared
+		told.FirstSeen = known.FirstSeen
 	}
 	return told
 }
@@ -72,13 +72,13 @@
 // coldUntil returns when the told backend server will be warm. An entry that is told
 // again starts no new time.
 func coldUntil(known, told *Backend) boottime.Instant {
-	if known != nil && sameEntry(known, told) && known.ColdLeft == told.ColdLeft {
+	if known != nil && sameEntry(known, told) && known.ColdRemaining == told.ColdRemaining {
 		return known.ColdUntil
 	}
-	if told.ColdLeft <= 0 {
+	if told.ColdRemaining <= 0 {
 		return 0
 	}
-	return boottime.Now().Add(told.ColdLeft)
+	return boottime.Now().Add(told.ColdRemaining)
 }
 
 // sameEntry tells whether both are the same entry of a backend server. In another era its
@@ -87,7 +87,7 @@
 	if known.Era == told.Era {
 		return known.Revision == told.Revision
 	}
-	return known.Born == told.Born && known.Sequence == told.Sequence
+	return known.StartedAt == told.StartedAt && known.Sequence == told.Sequence
 }
 
 // IncarnationHash returns the name by which routers tell each other of an
--- a/internal/knowledge/evacuations.go
+++ b/internal/knowledge/evacuations.go
@@ -16,17 +16,17 @@
 type Evacuations struct {
 	Zones    []fleet.Zone // sorted
 	Position Position     // at which these were the zones
-	// Confirmed is a moment at which these were still the zones, 0 before any were
+	// ConfirmedAt is a moment at which these were still the zones, 0 before any were
 	// told.
-	Confirmed boottime.Instant
-	// Heard tells when this router heard that a zone is evacuated.
-	Heard map[fleet.Zone]boottime.Instant
+	ConfirmedAt boottime.Instant
+	// ObservedAt tells when this router heard that a zone is evacuated.
+	ObservedAt map[fleet.Zone]boottime.Instant
 	// held are zones that were evacuated before the store went back and that it does
 	// not have since, with the moment until which they count all the same.
 	held map[fleet.Zone]boottime.Instant
-	// Returned tells when this router heard that a zone was taken back into use.
+	// ReturnedAt tells when this router heard that a zone was taken back into use.
 	// Its backend servers may have started again meanwhile.
-	Returned map[fleet.Zone]boottime.Instant
+	ReturnedAt map[fleet.Zone]boottime.Instant
 }
 
 // Has tells whether the zone is evacuated.
@@ -49,10 +49,10 @@
 // took each other's word would shift the moment on for ever.
 const returnedSlack = 5 * time.Second
 
-// ExpectEvacuations tells that the operator may evacuate zones, so that no request
+// RequireEvacuations tells that the operator may evacuate zones, so that no request
 // is answered before it is known which are. A router that started would else send
 // requests into an evacuated zone until its first answer of the store.
-func (s *State) ExpectEvacuations() {
+func (s *State) RequireEvacuations() {
 	s.update(func(view *View) bool {
 		view.expectEvacuations = true
 		return false
@@ -63,7 +63,7 @@
 // moment at which they still were, 0 if unknown. Zones of an older position than the
 // known ones are ignored.
 func (s *State) SetEvacuations(zones []fleet.Zone, at Position, confirmed boottime.Instant) {
-	if known := s.View().Evacuations; at.Compare(known.Position) <= 0 && confirmed <= known.Confirmed {
+	if known := s.View().Evacuations; at.Compare(known.Position) <= 0 && confirmed <= known.ConfirmedAt {
 		return // nearly all beats tell what is known, and each update costs a copy of the view
 	}
 	s.update(func(view *View) bool {
@@ -76,18 +76,18 @@
 		known.hold(zones, at, now)
 		zones := lo.Uniq(slices.Sorted(slices.Values(append(lo.Keys(known.held), zones...))))
 		known.Position = at
-		known.Confirmed = max(known.Confirmed, confirmed)
+		known.ConfirmedAt = max(known.ConfirmedAt, confirmed)
 		if slices.Equal(before, zones) {
 			return false
 		}
 		taken, _ := lo.Difference(before, zones)
-		known.Heard = lo.SliceToMap(zones, func(zone fleet.Zone) (fleet.Zone, boottime.Instant) {
-			if at, already := known.Heard[zone]; already {
+		known.ObservedAt = lo.SliceToMap(zones, func(zone fleet.Zone) (fleet.Zone, boottime.Instant) {
+			if at, already := known.ObservedAt[zone]; already {
 				return zone, at
 			}
 			return zone, now
 		})
-		known.Returned = withReturned(known.Returned, lo.SliceToMap(taken, func(zone fleet.Zone) (fleet.Zone, boottime.Instant) { return zone, now }), now)
+		known.ReturnedAt = withReturned(known.ReturnedAt, lo.SliceToMap(taken, func(zone fleet.Zone) (fleet.Zone, boottime.Instant) { return zone, now }), now)
 		known.Zones = zones
 		view.setBackends(view.Backends)
 		return true
@@ -100,7 +100,7 @@
 	maps.DeleteFunc(held, func(zone fleet.Zone, until boottime.Instant) bool {
 		return now >= until || slices.Contains(zones, zone)
 	})
-	if at.Era > e.Position.Era && e.Confirmed != 0 {
+	if at.Era > e.Position.Era && e.ConfirmedAt != 0 {
 		for _, zone := range lo.Without(e.Zones, zones...) {
 			if held == nil {
 				held = make(map[fleet.Zone]boottime.Instant)
@@ -116,16 +116,16 @@
 func (s *State) ConfirmEvacuations(zones []fleet.Zone, confirmed boottime.Instant) {
 	s.update(func(view *View) bool {
 		if slices.Equal(view.Evacuations.Zones, slices.Sorted(slices.Values(zones))) {
-			view.Evacuations.Confirmed = max(view.Evacuations.Confirmed, confirmed)
+			view.Evacuations.ConfirmedAt = max(view.Evacuations.ConfirmedAt, confirmed)
 		}
 		return false
 	})
 }
 
-// HearReturned takes from another router when zones were taken back. A router that
+// MergeReturnedZones takes from another router when zones were taken back. A router that
 // has just started did not see it itself.
-func (s *State) HearReturned(returned map[fleet.Zone]boottime.Instant) {
-	known := s.View().Evacuations.Returned
+func (s *State) MergeReturnedZones(returned map[fleet.Zone]boottime.Instant) {
+	known := s.View().Evacuations.ReturnedAt
 	news := lo.PickBy(returned, func(zone fleet.Zone, at boottime.Instant) bool {
 		return at.Sub(known[zone]) > returnedSlack
 	})
@@ -133,7 +133,7 @@
 		return
 	}
 	s.update(func(view *View) bool {
-		view.Evacuations.Returned = withReturned(view.Evacuations.Returned, news, boottime.Now())
+		view.Evacuations.ReturnedAt = withReturned(view.Evacuations.ReturnedAt, news, boottime.Now())
 		return false
 	})
 }
--- a/internal/knowledge/evacuations_test.go
+++ b/internal/knowledge/evacuations_test.go
@@ -45,7 +45,7 @@
 	if got := serving(state); !slices.Equal(got, []string{"i-a", "i-b", "i-new"}) {
 		t.Errorf("%v serve after the zone was taken back", got)
 	}
-	if at := state.View().Evacuations.Returned["a"]; boottime.Now().Sub(at) > time.Second {
+	if at := state.View().Evacuations.ReturnedAt["a"]; boottime.Now().Sub(at) > time.Second {
 		t.Errorf("taken back at %v", at)
 	}
 }
@@ -55,7 +55,7 @@
 // Cause: it was ready without them.
 func TestNothingIsAnsweredBeforeEvacuationsAreKnown(t *testing.T) {
 	state := zoned("a")
-	state.ExpectEvacuations()
+	state.RequireEvacuations()
 	if state.View().Ready() {
 		t.Error("ready without evacuations")
 	}
@@ -102,17 +102,17 @@
 	first, second := zoned("a"), zoned("a")
 	first.SetEvacuations([]fleet.Zone{"a"}, Position{Revision: 1}, boottime.Now())
 	first.SetEvacuations(nil, Position{Revision: 2}, boottime.Now())
-	returned := first.View().Evacuations.Returned["a"]
+	returned := first.View().Evacuations.ReturnedAt["a"]
 	for range 100 {
 		for _, told := range [][2]*State{{first, second}, {second, first}} {
-			late := map[fleet.Zone]boottime.Instant{"a": told[0].View().Evacuations.Returned["a"].Add(200 * time.Millisecond)}
-			told[1].HearReturned(late)
+			late := map[fleet.Zone]boottime.Instant{"a": told[0].View().Evacuations.ReturnedAt["a"].Add(200 * time.Millisecond)}
+			told[1].MergeReturnedZones(late)
 		}
 	}
-	if got := first.View().Evacuations.Returned["a"]; got != returned {
+	if got := first.View().Evacuations.ReturnedAt["a"]; got != returned {
 		t.Errorf("shifted by %v", got.Sub(returned))
 	}
-	if got := second.View().Evacuations.Returned["a"]; got.Sub(returned) != 200*time.Millisecond {
+	if got := second.View().Evacuations.ReturnedAt["a"]; got.Sub(returned) != 200*time.Millisecond {
 		t.Errorf("the other router puts it %v later", got.Sub(returned))
 	}
 }
--- a/internal/knowledge/index.go
+++ b/internal/knowledge/index.go
@@ -119,13 +119,13 @@
 	return priorities
 }
 
-// Tightest returns the shortest target latency of the service's routes, 0 if
+// MinTargetLatency returns the shortest target latency of the service's routes, 0 if
 // none has one.
-func (x *Index) Tightest(service fleet.Service) time.Duration { return x.tightest[service] }
+func (x *Index) MinTargetLatency(service fleet.Service) time.Duration { return x.tightest[service] }
 
-// Gap returns the shortest target gap between two events of the service's routes, 0 if
+// MinTargetGap returns the shortest target gap between two events of the service's routes, 0 if
 // none has one.
-func (x *Index) Gap(service fleet.Service) time.Duration { return x.gaps[service] }
+func (x *Index) MinTargetGap(service fleet.Service) time.Duration { return x.gaps[service] }
 
 // shortestOf returns the shortest time that routes to each service have, leaving out 0.
 func shortestOf(configuration *Configuration, timeOf func(*Route) time.Duration) map[fleet.Service]time.Duration {
--- a/internal/knowledge/knowledge_test.go
+++ b/internal/knowledge/knowledge_test.go
@@ -101,12 +101,12 @@
 	state := NewState()
 	state.SetConfiguration(configuration(2), 10)
 	state.ConfirmConfiguration(1, 50)
-	if got := state.View().Configured; got != 10 {
+	if got := state.View().ConfigurationConfirmedAt; got != 10 {
 		t.Errorf("confirmed at %v by another version", got)
 	}
 	state.ConfirmConfiguration(2, 50)
 	state.ConfirmConfiguration(2, 30)
-	if got := state.View().Configured; got != 50 {
+	if got := state.View().ConfigurationConfirmedAt; got != 50 {
 		t.Errorf("confirmed at %v, want 50", got)
 	}
 }
@@ -139,12 +139,12 @@
 	state.SetBackends([]Backend{{ID: "a"}, {ID: "b"}}, Position{Revision: 5}, now.Add(-10*time.Second))
 	state.SetBackends([]Backend{{ID: "a"}}, Position{Revision: 6}, now)
 	view := state.View()
-	if _, absent := view.Absent["b"]; !absent || !ids(view)["b"] {
+	if _, absent := view.MissingSince["b"]; !absent || !ids(view)["b"] {
 		t.Fatalf("b is gone at once: %v", ids(view))
 	}
 	state.SetBackends([]Backend{{ID: "a"}, {ID: "b"}}, Position{Revision: 7}, now)
-	if view := state.View(); len(view.Absent) != 0 || !ids(view)["b"] {
-		t.Errorf("b came back, absent: %v", view.Absent)
+	if view := state.View(); len(view.MissingSince) != 0 || !ids(view)["b"] {
+		t.Errorf("b came back, absent: %v", view.MissingSince)
 	}
 }
 
@@ -154,7 +154,7 @@
 	state.SetBackends([]Backend{{ID: "b"}}, Position{Revision: 5}, now.Add(-10*time.Second))
 	state.SetBackends(nil, Position{Revision: 6}, now)
 	state.update(func(view *View) bool {
-		view.Absent["b"] = now.Add(-lapseGrace)
+		view.MissingSince["b"] = now.Add(-lapseGrace)
 		return false
 	})
 	state.SetBackends(nil, Position{Revision: 7}, now)
@@ -166,10 +166,10 @@
 func TestOlderListIsIgnored(t *testing.T) {
 	state := NewState()
 	now := boottime.Now()
-	state.SetBackends([]Backend{{ID: "a", Leaving: true}}, Position{Revision: 6}, now)
+	state.SetBackends([]Backend{{ID: "a", Draining: true}}, Position{Revision: 6}, now)
 	state.SetBackends([]Backend{{ID: "a"}}, Position{Revision: 5}, now)
 	setBackend(state, Backend{ID: "a"}, 6)
-	if !state.View().Backends["a"].Leaving {
+	if !state.View().Backends["a"].Draining {
 		t.Error("a backend server that leaves came back by an older list")
 	}
 }
@@ -186,7 +186,7 @@
 		newest := int64(0)
 		for revision := range uint64(rapid.IntRange(1, 20).Draw(t, "news")) {
 			born := rapid.Int64Range(0, 4).Draw(t, "born")
-			told := Backend{ID: "a", Born: born, Slots: int(born)}
+			told := Backend{ID: "a", StartedAt: born, Slots: int(born)}
 			if rapid.Bool().Draw(t, "list") {
 				state.SetBackends([]Backend{told}, Position{Revision: revision + 2}, boottime.Now())
 			} else {
@@ -194,7 +194,7 @@
 			}
 			newest = max(newest, born)
 			got := state.View().Backends["a"]
-			if got.Born != newest || got.Incarnation != incarnation("a", newest) {
+			if got.StartedAt != newest || got.Incarnation != incarnation("a", newest) {
 				t.Fatalf("%+v is in force, want start %d", got, newest)
 			}
 		}
@@ -204,7 +204,7 @@
 // setBackend takes the newest entry of one backend server.
 func setBackend(state *State, backend Backend, revision uint64) {
 	backend.Position = Position{Revision: revision}
-	state.ChangeBackends([]BackendChange{{ID: backend.ID, Entry: &backend}}, backend.Position)
+	state.ApplyBackendChanges([]BackendChange{{ID: backend.ID, Entry: &backend}}, backend.Position)
 }
 
 // manyBackends are so many entries of one service.
@@ -241,7 +241,7 @@
 	state.SetBackends(backends, Position{Revision: 5}, boottime.Now())
 	views, before := 0, state.View()
 	changed := state.Changed()
-	state.ChangeBackends(changesOf(backends), Position{Revision: 50})
+	state.ApplyBackendChanges(changesOf(backends), Position{Revision: 50})
 	<-changed
 	select {
 	case <-state.Changed():
@@ -276,14 +276,14 @@
 			change := BackendChange{ID: id}
 			if rapid.Bool().Draw(t, "written") {
 				revision := rapid.Uint64Range(3, 12).Draw(t, "revision")
-				change.Entry = &Backend{ID: id, Service: "s", Address: "10.0.0.1:1", Leaving: rapid.Bool().Draw(t, "leaving"), Position: Position{Revision: revision}}
+				change.Entry = &Backend{ID: id, Service: "s", Address: "10.0.0.1:1", Draining: rapid.Bool().Draw(t, "leaving"), Position: Position{Revision: revision}}
 			}
 			changes = append(changes, change)
 		}
 		for _, change := range changes {
-			single.ChangeBackends([]BackendChange{change}, Position{Revision: 5})
+			single.ApplyBackendChanges([]BackendChange{change}, Position{Revision: 5})
 		}
-		together.ChangeBackends(changes, Position{Revision: 5})
+		together.ApplyBackendChanges(changes, Position{Revision: 5})
 		if together.View().Digest != single.View().Digest || len(together.View().Serving["s"]) != len(single.View().Serving["s"]) {
 			t.Fatalf("together %v, one by one %v", together.View().Backends, single.View().Backends)
 		}
@@ -302,7 +302,7 @@
 				state := NewState()
 				state.SetBackends(manyBackends(3000, 1), Position{Revision: 5}, boottime.Now())
 				for chunk := range slices.Chunk(changes, step) {
-					state.ChangeBackends(chunk, Position{Revision: 5})
+					state.ApplyBackendChanges(chunk, Position{Revision: 5})
 				}
 			}
 		})
--- a/internal/knowledge/list_changes.go
+++ b/internal/knowledge/list_changes.go
@@ -19,12 +19,12 @@
 // each entry bears the position of its last change, and removals are remembered for
 // longer than any router is behind that hears others.
 func (v *View) ChangesSince(since Position) (ListChanges, bool) {
-	if v.Listed == 0 || since.Era != v.Position.Era || since.Before(v.tracedFrom) || v.Position.Before(since) {
+	if v.ListConfirmedAt == 0 || since.Era != v.Position.Era || since.Before(v.tracedFrom) || v.Position.Before(since) {
 		return ListChanges{}, false
 	}
 	changes := ListChanges{Since: since, UpTo: v.Position}
 	for id, backend := range v.Backends {
-		if _, absent := v.Absent[id]; absent {
+		if _, absent := v.MissingSince[id]; absent {
 			changes.Removed = append(changes.Removed, id)
 			continue
 		}
@@ -40,13 +40,13 @@
 	return changes, true
 }
 
-// TakeChanges takes changes that another router told, whose list was complete at the
+// ApplyListChanges takes changes that another router told, whose list was complete at the
 // moment confirmed. It returns false where they don't lead on from the known list.
-func (s *State) TakeChanges(told ListChanges, confirmed boottime.Instant) bool {
+func (s *State) ApplyListChanges(told ListChanges, confirmed boottime.Instant) bool {
 	taken := false
 	s.update(func(view *View) bool {
 		known := view.Position
-		if view.Listed == 0 || told.UpTo.Era != known.Era || known.Before(told.Since) || told.UpTo.Before(known) {
+		if view.ListConfirmedAt == 0 || told.UpTo.Era != known.Era || known.Before(told.Since) || told.UpTo.Before(known) {
 			return false
 		}
 		taken = true
@@ -60,8 +60,8 @@
 // patch returns the list with the changes, as merge does for a whole list.
 func (v *View) patch(told ListChanges, misses bool, now boottime.Instant) (map[string]*Backend, map[string]boottime.Instant) {
 	listed := maps.Clone(v.Backends)
-	missing := make(map[string]bool, len(v.Absent)+len(told.Removed))
-	for id := range v.Absent {
+	missing := make(map[string]bool, len(v.MissingSince)+len(told.Removed))
+	for id := range v.MissingSince {
 		missing[id] = true
 	}
 	for _, id := range told.Removed {
--- a/internal/knowledge/list_changes_test.go
+++ b/internal/knowledge/list_changes_test.go
@@ -25,7 +25,7 @@
 		return BackendChange{ID: id}
 	}
 	entry := entryAt(id, s.at, s.at.Revision)
-	entry.Leaving = rapid.Bool().Draw(t, "leaving")
+	entry.Draining = rapid.Bool().Draw(t, "leaving")
 	s.entries[id] = entry
 	return BackendChange{ID: id, Entry: &entry}
 }
@@ -54,7 +54,7 @@
 			case 0:
 				following.SetBackends(stored.whole(), stored.at, now)
 			default:
-				following.ChangeBackends([]BackendChange{change}, stored.at)
+				following.ApplyBackendChanges([]BackendChange{change}, stored.at)
 			}
 			if rapid.Bool().Draw(t, "catches up") {
 				catchUp(t, behind, following)
@@ -74,7 +74,7 @@
 		t.Fatalf("no changes since %v", behind.View().Position)
 	}
 	for range 2 {
-		if !behind.TakeChanges(changes, boottime.Now()) {
+		if !behind.ApplyListChanges(changes, boottime.Now()) {
 			t.Fatalf("changes %+v were not taken at %v", changes, behind.View().Position)
 		}
 	}
@@ -85,7 +85,7 @@
 		t.Fatalf("%d backend servers at %v, want %d at %v", len(view.Backends), view.Position, len(stored.entries), stored.at)
 	}
 	for id, want := range stored.entries {
-		if got := view.Backends[id]; got == nil || got.Leaving != want.Leaving || got.Position != want.Position {
+		if got := view.Backends[id]; got == nil || got.Draining != want.Draining || got.Position != want.Position {
 			t.Fatalf("%s is %+v, want %+v", id, got, want)
 		}
 	}
@@ -99,14 +99,14 @@
 		t.Error("changes are told by a router that has no list")
 	}
 	state.SetBackends([]Backend{entryAt("a", Position{1, 3}, 1), entryAt("b", Position{1, 3}, 1)}, Position{1, 5}, boottime.Now())
-	state.ChangeBackends([]BackendChange{{ID: "a"}}, Position{1, 7})
+	state.ApplyBackendChanges([]BackendChange{{ID: "a"}}, Position{1, 7})
 	state.update(func(view *View) bool {
 		forgotten := view.removed["a"]
 		forgotten.at = boottime.Now().Add(-removalLife)
 		view.removed = map[string]removal{"a": forgotten}
 		return false
 	})
-	state.ChangeBackends([]BackendChange{{ID: "b"}}, Position{1, 9})
+	state.ApplyBackendChanges([]BackendChange{{ID: "b"}}, Position{1, 9})
 	for since, want := range map[Position]bool{{1, 4}: false, {1, 6}: false, {1, 7}: true, {1, 9}: true, {1, 10}: false, {2, 1}: false} {
 		if _, ok := state.View().ChangesSince(since); ok != want {
 			t.Errorf("since %v: told %t, want %t", since, ok, want)
@@ -129,22 +129,22 @@
 	following.SetBackends(entries[:1], Position{1, 8}, boottime.Now())
 	take := func() {
 		changes, ok := following.View().ChangesSince(told.View().Position)
-		if !ok || !told.TakeChanges(changes, boottime.Now()) {
+		if !ok || !told.ApplyListChanges(changes, boottime.Now()) {
 			t.Fatalf("changes were not taken, told %t", ok)
 		}
 	}
 	take()
-	if view := told.View(); view.Backends["b"] == nil || view.Absent["b"] == 0 {
+	if view := told.View(); view.Backends["b"] == nil || view.MissingSince["b"] == 0 {
 		t.Fatalf("b is not kept: %v", ids(view))
 	}
 	for _, state := range []*State{following, told} {
 		state.update(func(view *View) bool {
-			view.Absent = map[string]boottime.Instant{"b": boottime.Now().Add(-lapseGrace)}
+			view.MissingSince = map[string]boottime.Instant{"b": boottime.Now().Add(-lapseGrace)}
 			return false
 		})
 	}
 	take()
-	if view := told.View(); view.Backends["b"] != nil || len(view.Absent) > 0 {
+	if view := told.View(); view.Backends["b"] != nil || len(view.MissingSince) > 0 {
 		t.Errorf("b is still listed: %v", ids(view))
 	}
 }
@@ -155,10 +155,10 @@
 	const renewed = 4 * time.Second
 	for age, kept := range map[time.Duration]bool{renewed - time.Second/2: false, renewed + time.Second: true} {
 		state := NewState()
-		state.ListedWithin(renewed)
+		state.SetListRefreshInterval(renewed)
 		now := boottime.Now()
 		state.SetBackends([]Backend{entryAt("a", Position{1, 3}, 1)}, Position{1, 5}, now.Add(-age))
-		state.TakeChanges(ListChanges{Since: Position{1, 5}, UpTo: Position{1, 8}, Removed: []string{"a"}}, now)
+		state.ApplyListChanges(ListChanges{Since: Position{1, 5}, UpTo: Position{1, 8}, Removed: []string{"a"}}, now)
 		if listed := state.View().Backends["a"] != nil; listed != kept {
 			t.Errorf("list %v old: the removed server is listed %t, want %t", age, listed, kept)
 		}
@@ -181,9 +181,9 @@
 				since := at
 				at.Revision++
 				changed := entryAt("i-7", at, at.Revision)
-				changed.Leaving = at.Revision%2 == 0
+				changed.Draining = at.Revision%2 == 0
 				if name == "change" {
-					state.TakeChanges(ListChanges{Since: since, UpTo: at, Changed: []Backend{changed}}, boottime.Now())
+					state.ApplyListChanges(ListChanges{Since: since, UpTo: at, Changed: []Backend{changed}}, boottime.Now())
 					continue
 				}
 				list := append([]Backend(nil), whole...)
--- a/internal/knowledge/restored.go
+++ b/internal/knowledge/restored.go
@@ -33,7 +33,7 @@
 
 // rewriting tells whether the store has just come back from an older copy.
 func (v *View) rewriting(now boottime.Instant) bool {
-	return v.WentBack != 0 && now.Sub(v.WentBack) < rewriteTime
+	return v.RestoredAt != 0 && now.Sub(v.RestoredAt) < rewriteTime
 }
 
 // outdated tells whether the entry that is told is older than the known one of the same
@@ -42,7 +42,7 @@
 	if told.Era == known.Era {
 		return told.Revision < known.Revision
 	}
-	if !known.Leaving && told.ColdLeft > known.ColdLeft {
+	if !known.Draining && told.ColdRemaining > known.ColdRemaining {
 		// It may have started again under its id, and counts anew. Taken for warm, it
 		// would break.
 		return false
@@ -57,7 +57,7 @@
 	if !known || !v.rewriting(now) || now.Sub(removed.at) >= removalLife {
 		return false
 	}
-	return told.Era > removed.entry.Era && told.Born <= removed.entry.Born && told.Sequence <= removed.entry.Sequence
+	return told.Era > removed.entry.Era && told.StartedAt <= removed.entry.StartedAt && told.Sequence <= removed.entry.Sequence
 }
 
 // noteRemovals remembers the backend servers that are not in the list any more, as it is
@@ -81,9 +81,9 @@
 	v.removed = removed
 }
 
-// KeptFromBefore returns the ids, in order, of the backend servers that count as they were
+// RetainedFromOlderEra returns the ids, in order, of the backend servers that count as they were
 // before the store came back from an older copy.
-func (v *View) KeptFromBefore() []string {
+func (v *View) RetainedFromOlderEra() []string {
 	kept := []string{}
 	for id, backend := range v.Backends {
 		if backend.Era < v.Position.Era {
--- a/internal/knowledge/restored_test.go
+++ b/internal/knowledge/restored_test.go
@@ -19,7 +19,7 @@
 // wentBackAgo lets the store have come back so long ago.
 func wentBackAgo(state *State, passed time.Duration) {
 	state.update(func(view *View) bool {
-		view.WentBack = boottime.Now().Add(-passed)
+		view.RestoredAt = boottime.Now().Add(-passed)
 		return false
 	})
 }
@@ -33,10 +33,10 @@
 		state := NewState()
 		state.SetBackends([]Backend{entryAt("a", Position{1, 40}, 4)}, Position{1, 87}, boottime.Now())
 		leaving := entryAt("a", Position{2, revision}, 9)
-		leaving.Leaving = true
+		leaving.Draining = true
 		state.SetBackends([]Backend{leaving}, Position{2, revision}, boottime.Now())
 		view := state.View()
-		if !view.Backends["a"].Leaving || view.Position != (Position{2, revision}) || view.WentBack == 0 {
+		if !view.Backends["a"].Draining || view.Position != (Position{2, revision}) || view.RestoredAt == 0 {
 			t.Errorf("%+v at %v after a list at revision %d", view.Backends["a"], view.Position, revision)
 		}
 	}
@@ -67,7 +67,7 @@
 	state := NewState()
 	state.SetBackends([]Backend{entryAt("a", Position{2, 5}, 4)}, Position{2, 5}, boottime.Now())
 	other := entryAt("b", Position{1, 90}, 1)
-	state.ChangeBackends([]BackendChange{{ID: "a"}, {ID: "b", Entry: &other}}, Position{1, 90})
+	state.ApplyBackendChanges([]BackendChange{{ID: "a"}, {ID: "b", Entry: &other}}, Position{1, 90})
 	if view := state.View(); view.Backends["a"] == nil || view.Backends["b"] != nil || view.Position != (Position{2, 5}) {
 		t.Errorf("%v at %v", view.Backends, view.Position)
 	}
@@ -79,22 +79,22 @@
 func TestServerGoesOnLeavingWhenTheStoreForgets(t *testing.T) {
 	state := NewState()
 	leaving := entryAt("a", Position{1, 85}, 8)
-	leaving.Leaving = true
+	leaving.Draining = true
 	state.SetBackends([]Backend{leaving}, Position{1, 87}, boottime.Now())
 	for revision := range uint64(3) { // each list shows the older entry
 		state.SetBackends([]Backend{entryAt("a", Position{2, 40}, 4)}, Position{2, 60 + revision}, boottime.Now())
-		if !state.View().Backends["a"].Leaving {
+		if !state.View().Backends["a"].Draining {
 			t.Fatalf("in use again after list %d", revision)
 		}
 	}
 	older := entryAt("a", Position{2, 63}, 5)
-	state.ChangeBackends([]BackendChange{{ID: "a", Entry: &older}}, Position{2, 63})
-	if !state.View().Backends["a"].Leaving {
+	state.ApplyBackendChanges([]BackendChange{{ID: "a", Entry: &older}}, Position{2, 63})
+	if !state.View().Backends["a"].Draining {
 		t.Error("in use again after a change that is older")
 	}
 	again := entryAt("a", Position{2, 64}, 9)
-	state.ChangeBackends([]BackendChange{{ID: "a", Entry: &again}}, Position{2, 64})
-	if state.View().Backends["a"].Leaving {
+	state.ApplyBackendChanges([]BackendChange{{ID: "a", Entry: &again}}, Position{2, 64})
+	if state.View().Backends["a"].Draining {
 		t.Error("leaving after the server has written that it is ready")
 	}
 }
@@ -104,12 +104,12 @@
 func TestOlderEntryCountsOnceTheStoreIsSettled(t *testing.T) {
 	state := NewState()
 	leaving := entryAt("a", Position{1, 85}, 80)
-	leaving.Leaving = true
+	leaving.Draining = true
 	state.SetBackends([]Backend{leaving}, Position{1, 87}, boottime.Now())
 	state.SetBackends([]Backend{entryAt("a", Position{2, 60}, 1)}, Position{2, 60}, boottime.Now())
 	wentBackAgo(state, rewriteTime)
 	state.SetBackends([]Backend{entryAt("a", Position{2, 60}, 1)}, Position{2, 61}, boottime.Now())
-	if state.View().Backends["a"].Leaving {
+	if state.View().Backends["a"].Draining {
 		t.Error("out of use for good")
 	}
 }
@@ -120,14 +120,14 @@
 	state := NewState()
 	state.SetBackends(nil, Position{1, 80}, boottime.Now())
 	leaving := entryAt("a", Position{2, 61}, 9)
-	leaving.Leaving = true
+	leaving.Draining = true
 	state.SetBackends([]Backend{leaving}, Position{2, 61}, boottime.Now())
 	state.SetBackends([]Backend{entryAt("a", Position{1, 85}, 8)}, Position{2, 62}, boottime.Now())
-	if !state.View().Backends["a"].Leaving {
+	if !state.View().Backends["a"].Draining {
 		t.Error("in use again by an entry of an older era")
 	}
 	state.SetBackends([]Backend{entryAt("a", Position{2, 55}, 8)}, Position{2, 63}, boottime.Now())
-	if !state.View().Backends["a"].Leaving {
+	if !state.View().Backends["a"].Draining {
 		t.Error("in use again by an older entry of the same era")
 	}
 }
@@ -137,7 +137,7 @@
 func TestServerStaysColdWhenTheStoreForgets(t *testing.T) {
 	state := NewState()
 	cold := entryAt("a", Position{1, 85}, 8)
-	cold.ColdLeft = time.Minute
+	cold.ColdRemaining = time.Minute
 	state.SetBackends([]Backend{cold}, Position{1, 87}, boottime.Now())
 	until := state.View().Backends["a"].ColdUntil
 	state.SetBackends([]Backend{entryAt("a", Position{2, 40}, 4)}, Position{2, 60}, boottime.Now())
@@ -150,7 +150,7 @@
 		t.Errorf("cold until %v after the same entry in the new era, want %v", got, until)
 	}
 	next := entryAt("a", Position{2, 62}, 9)
-	next.ColdLeft = time.Minute
+	next.ColdRemaining = time.Minute
 	state.SetBackends([]Backend{next}, Position{2, 62}, boottime.Now())
 	if got := state.View().Backends["a"].ColdUntil; got <= until {
 		t.Errorf("cold until %v after a newer entry, want more than %v", got, until)
@@ -163,7 +163,7 @@
 	state := NewState()
 	state.SetBackends([]Backend{entryAt("a", Position{1, 85}, 80)}, Position{1, 87}, boottime.Now())
 	again := entryAt("a", Position{2, 61}, 1)
-	again.ColdLeft = time.Minute
+	again.ColdRemaining = time.Minute
 	state.SetBackends([]Backend{again}, Position{2, 61}, boottime.Now())
 	if state.View().Backends["a"].ColdUntil == 0 {
 		t.Error("it is taken for warm")
@@ -175,11 +175,11 @@
 func TestColdTimeUnderAReusedRevision(t *testing.T) {
 	state := NewState()
 	cold := entryAt("a", Position{1, 61}, 8)
-	cold.ColdLeft = time.Minute
+	cold.ColdRemaining = time.Minute
 	state.SetBackends([]Backend{cold}, Position{1, 61}, boottime.Now())
 	until := state.View().Backends["a"].ColdUntil
 	next := entryAt("a", Position{2, 61}, 9)
-	next.ColdLeft = time.Minute
+	next.ColdRemaining = time.Minute
 	state.SetBackends([]Backend{next}, Position{2, 61}, boottime.Now())
 	if got := state.View().Backends["a"].ColdUntil; got <= until {
 		t.Errorf("cold until %v, want more than %v", got, until)
@@ -192,7 +192,7 @@
 func TestServerThatHasGoneStaysGoneWhenTheStoreForgets(t *testing.T) {
 	gone := map[string]func(state *State){
 		"list":   func(state *State) { state.SetBackends(nil, Position{1, 87}, boottime.Now()) },
-		"change": func(state *State) { state.ChangeBackends([]BackendChange{{ID: "a"}}, Position{1, 87}) },
+		"change": func(state *State) { state.ApplyBackendChanges([]BackendChange{{ID: "a"}}, Position{1, 87}) },
 	}
 	for name, remove := range gone {
 		state := NewState()
@@ -203,7 +203,7 @@
 			t.Errorf("%s: back with the older copy", name)
 		}
 		alive := entryAt("a", Position{2, 61}, 7)
-		state.ChangeBackends([]BackendChange{{ID: "a", Entry: &alive}}, Position{2, 61})
+		state.ApplyBackendChanges([]BackendChange{{ID: "a", Entry: &alive}}, Position{2, 61})
 		if state.View().Backends["a"] == nil {
 			t.Errorf("%s: missing though it has written again", name)
 		}
@@ -214,12 +214,12 @@
 func TestRemovalsAreForgotten(t *testing.T) {
 	state := NewState()
 	state.SetBackends([]Backend{entryAt("a", Position{1, 1}, 1), entryAt("b", Position{1, 1}, 1)}, Position{1, 1}, boottime.Now())
-	state.ChangeBackends([]BackendChange{{ID: "a"}}, Position{1, 2})
+	state.ApplyBackendChanges([]BackendChange{{ID: "a"}}, Position{1, 2})
 	state.update(func(view *View) bool {
 		view.removed = map[string]removal{"a": {entry: view.removed["a"].entry, at: boottime.Now().Add(-removalLife)}}
 		return false
 	})
-	state.ChangeBackends([]BackendChange{{ID: "b"}}, Position{1, 3})
+	state.ApplyBackendChanges([]BackendChange{{ID: "b"}}, Position{1, 3})
 	if removed := state.View().removed; len(removed) != 1 || removed["b"].entry == nil {
 		t.Errorf("%v are remembered", removed)
 	}
@@ -232,10 +232,10 @@
 	state.SetBackends([]Backend{entryAt("a", Position{1, 85}, 1)}, Position{1, 87}, boottime.Now())
 	state.SetBackends(nil, Position{2, 60}, boottime.Now())
 	view := state.View()
-	if _, absent := view.Absent["a"]; !absent || view.Backends["a"] == nil {
-		t.Errorf("%v listed, %v missed", view.Backends, view.Absent)
+	if _, absent := view.MissingSince["a"]; !absent || view.Backends["a"] == nil {
+		t.Errorf("%v listed, %v missed", view.Backends, view.MissingSince)
 	}
-	if got := view.KeptFromBefore(); !slices.Equal(got, []string{"a"}) {
+	if got := view.RetainedFromOlderEra(); !slices.Equal(got, []string{"a"}) {
 		t.Errorf("%v kept", got)
 	}
 }
--- a/internal/knowledge/state.go
+++ b/internal/knowledge/state.go
@@ -12,28 +12,28 @@
 // View is what a router knows at one moment. It does not change.
 type View struct {
 	Index *Index // nil before a configuration is known
-	// Configured is a moment at which the version in Index was still the
+	// ConfigurationConfirmedAt is a moment at which the version in Index was still the
 	// newest, or there was none yet, as the platform's store said.
-	Configured boottime.Instant
+	ConfigurationConfirmedAt boottime.Instant
 
-	// Contact is when the store last answered a call of this process's own.
-	Contact boottime.Instant
+	// StoreContact is when the store last answered a call of this process's own.
+	StoreContact boottime.Instant
 
-	Backends  map[string]*Backend          // by ID
-	ByService map[fleet.Service][]*Backend // in the order of their IDs
-	Serving   map[fleet.Service][]*Backend // those that neither leave nor are evacuated
-	Digest    uint64                       // of the list of backend servers, to compare it with another router's
-	Position  Position                     // up to which the list of backend servers was followed
-	Listed    boottime.Instant             // a moment at which the list was complete
-	Absent    map[string]boottime.Instant  // when a listed backend server was first missed
+	Backends        map[string]*Backend          // by ID
+	ByService       map[fleet.Service][]*Backend // in the order of their IDs
+	Serving         map[fleet.Service][]*Backend // those that neither leave nor are evacuated
+	Digest          uint64                       // of the list of backend servers, to compare it with another router's
+	Position        Position                     // up to which the list of backend servers was followed
+	ListConfirmedAt boottime.Instant             // a moment at which the list was complete
+	MissingSince    map[string]boottime.Instant  // when a listed backend server was first missed
 
 	Evacuations       Evacuations
 	expectEvacuations bool
 
-	// WentBack is when the store was seen to have come back from an older copy, 0 for
+	// RestoredAt is when the store was seen to have come back from an older copy, 0 for
 	// never.
-	WentBack boottime.Instant
-	removed  map[string]removal // of backend servers that were listed, by ID
+	RestoredAt boottime.Instant
+	removed    map[string]removal // of backend servers that were listed, by ID
 	// outageAge is the age of the list from which the next one counts as the first after
 	// an outage.
 	outageAge time.Duration
@@ -43,7 +43,7 @@
 
 // Ready tells whether requests can be answered at all.
 func (v *View) Ready() bool {
-	return v.Index != nil && v.Listed != 0 && (v.Evacuations.Confirmed != 0 || !v.expectEvacuations)
+	return v.Index != nil && v.ListConfirmedAt != 0 && (v.Evacuations.ConfirmedAt != 0 || !v.expectEvacuations)
 }
 
 // Version returns the version of the configuration, 0 for none.
@@ -104,12 +104,12 @@
 	s.update(func(view *View) bool {
 		if view.Index != nil && configuration.Version <= view.Version() {
 			if configuration.Version == view.Version() {
-				view.Configured = max(view.Configured, confirmed)
+				view.ConfigurationConfirmedAt = max(view.ConfigurationConfirmedAt, confirmed)
 			}
 			return false
 		}
 		view.Index = NewIndex(configuration)
-		view.Configured = max(view.Configured, confirmed)
+		view.ConfigurationConfirmedAt = max(view.ConfigurationConfirmedAt, confirmed)
 		return true
 	})
 }
@@ -119,16 +119,16 @@
 func (s *State) ConfirmConfiguration(version uint64, confirmed boottime.Instant) {
 	s.update(func(view *View) bool {
 		if view.Version() == version {
-			view.Configured = max(view.Configured, confirmed)
+			view.ConfigurationConfirmedAt = max(view.ConfigurationConfirmedAt, confirmed)
 		}
 		return false
 	})
 }
 
-// SetContact tells that the store answered this process at the moment.
-func (s *State) SetContact(at boottime.Instant) {
+// SetStoreContact tells that the store answered this process at the moment.
+func (s *State) SetStoreContact(at boottime.Instant) {
 	s.update(func(view *View) bool {
-		view.Contact = max(view.Contact, at)
+		view.StoreContact = max(view.StoreContact, at)
 		return false
 	})
 }
--- a/internal/knowledge/types.go
+++ b/internal/knowledge/types.go
@@ -29,8 +29,8 @@
 	Services []ServiceSettings
 	Accounts []Account
 	Limits   Limits
-	// Keyed tells that requests carry a key unless their route is public.
-	Keyed bool
+	// KeysRequired tells that requests carry a key unless their route is public.
+	KeysRequired bool `json:"Keyed"`
 }
 
 // Route tells where requests of one host and path go.
@@ -89,9 +89,9 @@
 // Backend is one incarnation of a backend server.
 type Backend struct {
 	ID string
-	// Born is when the backend server started, in Unix milliseconds, 0 if it
+	// StartedAt is when the backend server started, in Unix milliseconds, 0 if it
 	// does not tell. One that crashed may start again under its ID.
-	Born int64
+	StartedAt int64 `json:"Born"`
 	// Incarnation tells this start from the others of the same ID.
 	// IncarnationHash and IDHash spare each request the hashing of a whole list.
 	// A State sets the three.
@@ -102,24 +102,24 @@
 	Address         fleet.Address
 	Zone            fleet.Zone
 	Slots           int
-	Leaving         bool // takes no new request
+	Draining        bool `json:"Leaving"` // takes no new request
 	// Position is that of the last change of the entry.
 	Position
 	// Sequence counts the entries that this start of the backend server has written.
 	Sequence uint64
-	// ColdLeft is how long the backend server said in that entry that it will be cold.
-	ColdLeft time.Duration
+	// ColdRemaining is how long the backend server said in that entry that it will be cold.
+	ColdRemaining time.Duration `json:"ColdLeft"`
 	// ColdUntil is when it will be warm, 0 if it is. A State sets it, counting from
 	// when it takes the entry: that is later than the entry was written, so a server
 	// may count as cold too long but not too short.
 	ColdUntil boottime.Instant `json:"-"`
-	// Appeared is when this router first heard of this start, 0 if it was in the first
+	// FirstSeen is when this router first heard of this start, 0 if it was in the first
 	// list that the router had.
-	Appeared boottime.Instant `json:"-"`
+	FirstSeen boottime.Instant `json:"-"`
 	// entryHash is this entry's part of the digest of a list.
 	entryHash uint64
 }
 
-// Whole tells whether the entry names a backend server that requests could be
+// Valid tells whether the entry names a backend server that requests could be
 // sent to.
-func (b *Backend) Whole() bool { return b.ID != "" && b.Service != "" && b.Address != "" }
+func (b *Backend) Valid() bool { return b.ID != "" && b.Service != "" && b.Address != "" }
--- a/internal/peering/evacuations.go
+++ b/internal/peering/evacuations.go
@@ -20,16 +20,16 @@
 // encodeEvacuations returns what a beat tells of evacuations, nil while nothing is
 // known.
 func encodeEvacuations(known *knowledge.Evacuations, now boottime.Instant) *peeringpb.Evacuations {
-	if known.Confirmed == 0 {
+	if known.ConfirmedAt == 0 {
 		return nil
 	}
 	encoded := &peeringpb.Evacuations{
 		Zones:    zoneNames(known.Zones),
 		Era:      known.Position.Era,
 		Revision: known.Position.Revision,
-		Age:      age(known.Confirmed, now),
+		Age:      age(known.ConfirmedAt, now),
 	}
-	for zone, at := range known.Returned {
+	for zone, at := range known.ReturnedAt {
 		encoded.Returned = append(encoded.Returned, string(zone))
 		encoded.ReturnedAge = append(encoded.ReturnedAge, age(at, now))
 	}
@@ -49,7 +49,7 @@
 	for i := range min(len(told.Returned), len(told.ReturnedAge)) {
 		returned[fleet.Zone(told.Returned[i])] = now.Add(-time.Duration(told.ReturnedAge[i]))
 	}
-	state.HearReturned(returned)
+	state.MergeReturnedZones(returned)
 	if echo != 0 {
 		state.ConfirmEvacuations(zones, echo.Add(-time.Duration(told.Age)))
 	}
--- a/internal/peering/evacuations_test.go
+++ b/internal/peering/evacuations_test.go
@@ -23,19 +23,19 @@
 		takeEvacuations(hearer, encodeEvacuations(&view.Evacuations, boottime.Now()), now, boottime.Now())
 	}
 	tell()
-	if hearer.View().Evacuations.Confirmed != 0 {
+	if hearer.View().Evacuations.ConfirmedAt != 0 {
 		t.Error("a router that knows nothing confirmed something")
 	}
 	teller.SetEvacuations([]fleet.Zone{"b", "a"}, knowledge.Position{Revision: 4}, now)
 	tell()
 	known := hearer.View().Evacuations
-	if !slices.Equal(known.Zones, []fleet.Zone{"a", "b"}) || known.Confirmed == 0 || known.Confirmed > now {
+	if !slices.Equal(known.Zones, []fleet.Zone{"a", "b"}) || known.ConfirmedAt == 0 || known.ConfirmedAt > now {
 		t.Errorf("heard %+v", known)
 	}
 	teller.SetEvacuations([]fleet.Zone{"b"}, knowledge.Position{Revision: 5}, boottime.Now())
 	tell()
 	known = hearer.View().Evacuations
-	if !slices.Equal(known.Zones, []fleet.Zone{"b"}) || known.Returned["a"] == 0 {
+	if !slices.Equal(known.Zones, []fleet.Zone{"b"}) || known.ReturnedAt["a"] == 0 {
 		t.Errorf("heard %+v after a zone was taken back", known)
 	}
 }
@@ -47,7 +47,7 @@
 	state := knowledge.NewState()
 	told := &peeringpb.Evacuations{Revision: 9, Returned: []string{"a", "old", "torn"}, ReturnedAge: []int64{int64(time.Second), int64(time.Hour)}}
 	takeEvacuations(state, told, 0, now)
-	returned := state.View().Evacuations.Returned
+	returned := state.View().Evacuations.ReturnedAt
 	if len(returned) != 1 || returned["a"] != now.Add(-time.Second) {
 		t.Errorf("%v", returned)
 	}
--- a/internal/peering/peering_test.go
+++ b/internal/peering/peering_test.go
@@ -223,10 +223,10 @@
 	now := boottime.Now()
 	echo := now.Add(-10 * time.Second) // our clock when the peer last heard us
 	manager.confirm(&peeringpb.Beat{Echoes: echoOf(int64(echo)), Version: 3, ConfigAge: int64(time.Second), ListAge: -1}, now)
-	if got, want := state.View().Configured, echo.Add(-time.Second); got != want {
+	if got, want := state.View().ConfigurationConfirmedAt, echo.Add(-time.Second); got != want {
 		t.Errorf("confirmed %v ago, want %v", now.Sub(got), now.Sub(want))
 	}
-	before := state.View().Configured
+	before := state.View().ConfigurationConfirmedAt
 	for _, beat := range []*peeringpb.Beat{
 		{Echoes: echoOf(0), Version: 3, ConfigAge: 0, ListAge: -1},
 		{Echoes: echoOf(int64(now.Add(time.Hour))), Version: 3, ConfigAge: 0, ListAge: -1},
@@ -235,7 +235,7 @@
 		{Echoes: echoOf(int64(now)), Version: 3, ConfigAge: -1, ListAge: -1},
 	} {
 		manager.confirm(beat, now)
-		if got := state.View().Configured; got != before {
+		if got := state.View().ConfigurationConfirmedAt; got != before {
 			t.Errorf("%v confirmed the configuration", beat)
 		}
 	}
@@ -489,7 +489,7 @@
 	if err := puller.apply(reply, knowledge.Position{}, boottime.Now()); err != nil {
 		t.Fatal(err)
 	}
-	if age := boottime.Now().Sub(asking.View().Listed); age > 500*time.Millisecond {
+	if age := boottime.Now().Sub(asking.View().ListConfirmedAt); age > 500*time.Millisecond {
 		t.Errorf("the list counts as %v old", age)
 	}
 	reply, err = (&server{state: told}).Pull(t.Context(), &peeringpb.PullRequest{Version: 1, Revision: 6})
@@ -547,8 +547,8 @@
 		}
 	}
 	view := asking.View()
-	if !view.Ready() || view.Version() != 4 || len(view.Backends) != 1 || view.Listed > boottime.Now() {
-		t.Errorf("version %d, %d backend servers, listed %v", view.Version(), len(view.Backends), view.Listed)
+	if !view.Ready() || view.Version() != 4 || len(view.Backends) != 1 || view.ListConfirmedAt > boottime.Now() {
+		t.Errorf("version %d, %d backend servers, listed %v", view.Version(), len(view.Backends), view.ListConfirmedAt)
 	}
 	if _, err := (&server{state: knowledge.NewState()}).Pull(t.Context(), &peeringpb.PullRequest{}); err == nil {
 		t.Error("a router that knows nothing answers")
@@ -571,8 +571,8 @@
 	}
 	at := knowledge.Position{Revision: 8}
 	leaves := backends[7]
-	leaves.Leaving, leaves.Position = true, at
-	told.ChangeBackends([]knowledge.BackendChange{{ID: leaves.ID, Entry: &leaves}, {ID: "i-9"}}, at)
+	leaves.Draining, leaves.Position = true, at
+	told.ApplyBackendChanges([]knowledge.BackendChange{{ID: leaves.ID, Entry: &leaves}, {ID: "i-9"}}, at)
 	beat := &peeringpb.Beat{Version: 1, Revision: at.Revision, Digest: told.View().Digest}
 	if !newerList(asking.View(), beat) {
 		t.Fatal("a router is not behind")
@@ -583,7 +583,7 @@
 		t.Errorf("one change of %d backend servers takes %d bytes, want %d at most", servers, size, changeMost)
 	}
 	view := asking.View()
-	if view.Digest != told.View().Digest || view.Position != at || !view.Backends["i-7"].Leaving || view.Backends["i-9"] != nil {
+	if view.Digest != told.View().Digest || view.Position != at || !view.Backends["i-7"].Draining || view.Backends["i-9"] != nil {
 		t.Errorf("%d backend servers at %v after the change", len(view.Backends), view.Position)
 	}
 }
@@ -617,7 +617,7 @@
 	asking.SetBackends([]knowledge.Backend{entry("a")}, knowledge.Position{Revision: 5}, now)
 	puller := quietPuller(asking)
 	for revision := uint64(6); revision <= 7; revision++ {
-		told.ChangeBackends([]knowledge.BackendChange{{ID: fmt.Sprint("gone-", revision)}}, knowledge.Position{Revision: revision})
+		told.ApplyBackendChanges([]knowledge.BackendChange{{ID: fmt.Sprint("gone-", revision)}}, knowledge.Position{Revision: revision})
 		pullInto(t, puller, told)
 	}
 	if view := asking.View(); view.Digest != told.View().Digest || puller.whole.Load() {
--- a/internal/peering/pull.go
+++ b/internal/peering/pull.go
@@ -66,7 +66,7 @@
 func (p *puller) consider(ctx context.Context, router fleet.Address, beat *peeringpb.Beat, alone func(now boottime.Instant) bool, now boottime.Instant) {
 	view := p.state.View()
 	newer := beat.Version > view.Version() || newerList(view, beat)
-	own := now.Sub(view.Listed)
+	own := now.Sub(view.ListConfirmedAt)
 	fresher := beat.ListAge >= 0 && own > listAge && own-time.Duration(beat.ListAge) > listGain
 	if !newer && !fresher {
 		return
@@ -171,11 +171,11 @@
 			return err
 		}
 	}
-	if !p.state.TakeChanges(changes, confirmed) {
+	if !p.state.ApplyListChanges(changes, confirmed) {
 		return nil // a newer list has come meanwhile
 	}
 	view := p.state.View()
-	comparable := reply.Digest != 0 && view.Position == changes.UpTo && len(view.Absent) == 0
+	comparable := reply.Digest != 0 && view.Position == changes.UpTo && len(view.MissingSince) == 0
 	p.whole.Store(comparable && view.Digest != reply.Digest)
 	return nil
 }
@@ -191,7 +191,7 @@
 	for _, entry := range entries {
 		var backend knowledge.Backend
 		err := json.Unmarshal(entry, &backend)
-		if err == nil && !backend.Whole() {
+		if err == nil && !backend.Valid() {
 			err = errNotWhole
 		}
 		if err != nil {
--- a/internal/peering/register.go
+++ b/internal/peering/register.go
@@ -31,7 +31,7 @@
 // the context ends. A process that starts again on its VM finds its entry from before.
 func (m *Manager) register(ctx context.Context) error {
 	missing := announceAfter - 1 // lists in a row that lack this router
-	wentBack := m.options.State.View().WentBack
+	wentBack := m.options.State.View().RestoredAt
 	for look := 1; ; look++ {
 		zones, err := m.options.Directory.Routers(ctx)
 		m.logFailure(ctx, err)
@@ -45,7 +45,7 @@
 		if ctx.Err() != nil {
 			return nil
 		}
-		if again := m.options.State.View().WentBack; again != wentBack {
+		if again := m.options.State.View().RestoredAt; again != wentBack {
 			// The store may have lost this router's entry, and those of others that
 			// came of late. Routers that hear nobody find each other by them alone, so
 			// it is looked into as at the start, and one list without it is enough.
@@ -72,7 +72,7 @@
 	defer timer.Stop()
 	for {
 		changed := m.options.State.Changed()
-		if m.options.State.View().WentBack != wentBack {
+		if m.options.State.View().RestoredAt != wentBack {
 			return
 		}
 		select {
--- a/internal/peering/restored_test.go
+++ b/internal/peering/restored_test.go
@@ -37,7 +37,7 @@
 	for _, revision := range []uint64{60, 87, 95} {
 		at := knowledge.Position{Era: 2, Revision: revision}
 		leaves := was
-		leaves.Leaving, leaves.Position = true, at
+		leaves.Draining, leaves.Position = true, at
 		told, asking := knowing([]knowledge.Backend{leaves}, at), knowing([]knowledge.Backend{was}, known)
 		beat := &peeringpb.Beat{Era: at.Era, Revision: at.Revision, Digest: told.View().Digest}
 		if !newerList(asking.View(), beat) {
@@ -51,7 +51,7 @@
 			t.Fatal(err)
 		}
 		view := asking.View()
-		if !view.Backends["i"].Leaving || view.Position != at || view.Backends["i"].Position != at {
+		if !view.Backends["i"].Draining || view.Position != at || view.Backends["i"].Position != at {
 			t.Errorf("%+v at %v after a list at %v", view.Backends["i"], view.Position, at)
 		}
 		if newerList(view, beat) {
@@ -105,7 +105,7 @@
 		state.SetBackends(nil, knowledge.Position{Era: 2, Revision: 60}, boottime.Now())
 	})
 	began := time.Now()
-	manager.awaitLook(t.Context(), time.Minute, state.View().WentBack)
+	manager.awaitLook(t.Context(), time.Minute, state.View().RestoredAt)
 	if waited := time.Since(began); waited > 10*time.Second {
 		t.Errorf("waited for %v", waited)
 	}
--- a/internal/peering/serve.go
+++ b/internal/peering/serve.go
@@ -27,16 +27,16 @@
 // configuration first and others the list, and all wait for a router that has both.
 func (s *server) Pull(_ context.Context, request *peeringpb.PullRequest) (*peeringpb.PullReply, error) {
 	view := s.state.View()
-	if view.Index == nil && view.Listed == 0 {
+	if view.Index == nil && view.ListConfirmedAt == 0 {
 		return nil, twirp.NewError(twirp.Unavailable, "nothing is known yet")
 	}
 	now := boottime.Now()
 	reply := &peeringpb.PullReply{
 		Version:   view.Version(),
-		ConfigAge: age(view.Configured, now),
+		ConfigAge: age(view.ConfigurationConfirmedAt, now),
 		Era:       view.Position.Era,
 		Revision:  view.Position.Revision,
-		ListAge:   age(view.Listed, now),
+		ListAge:   age(view.ListConfirmedAt, now),
 	}
 	var err error
 	if view.Version() > request.Version {
@@ -55,7 +55,7 @@
 // each router.
 func (s *server) tellList(reply *peeringpb.PullReply, request *peeringpb.PullRequest, view *knowledge.View) (err error) {
 	known := knowledge.Position{Era: request.Era, Revision: request.Revision}
-	if view.Listed == 0 || known == view.Position {
+	if view.ListConfirmedAt == 0 || known == view.Position {
 		return nil
 	}
 	changes, traced := view.ChangesSince(known)
@@ -64,7 +64,7 @@
 		return err
 	}
 	reply.Changes, reply.Removed = true, changes.Removed
-	if len(view.Absent) == 0 {
+	if len(view.MissingSince) == 0 {
 		reply.Digest = view.Digest
 	}
 	if len(changes.Changed) > 0 {
@@ -79,7 +79,7 @@
 func (s *server) encode(view *knowledge.View) ([]byte, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.encoded != nil && len(view.Absent) == 0 && s.position == view.Position && s.digest == view.Digest {
+	if s.encoded != nil && len(view.MissingSince) == 0 && s.position == view.Position && s.digest == view.Digest {
 		return s.encoded, nil
 	}
 	encoded, err := json.Marshal(listed(view))
@@ -87,7 +87,7 @@
 		return nil, err
 	}
 	s.encoded = nil // what is left out for being absent holds for this moment only
-	if len(view.Absent) == 0 {
+	if len(view.MissingSince) == 0 {
 		s.position, s.digest, s.encoded = view.Position, view.Digest, encoded
 	}
 	return encoded, nil
@@ -98,7 +98,7 @@
 func listed(view *knowledge.View) []knowledge.Backend {
 	backends := make([]knowledge.Backend, 0, len(view.Backends))
 	for id, backend := range view.Backends {
-		if _, absent := view.Absent[id]; !absent {
+		if _, absent := view.MissingSince[id]; !absent {
 			backends = append(backends, *backend)
 		}
 	}
