--- a/internal/gate/await_test.go
+++ b/internal/gate/await_test.go
@@ -29,7 +29,7 @@
 // routers start again and learn what they need.
 func TestFirstRequestsWaitForKnowledge(t *testing.T) {
 	manager, address := listeningGate(t, 10)
-	time.AfterFunc(startWait/3, func() {
+	time.AfterFunc(startupWait/3, func() {
 		now := boottime.Now()
 		manager.options.State.SetConfiguration(&knowledge.Configuration{Version: 1}, now)
 		manager.options.State.SetBackends(nil, knowledge.Position{Revision: 1}, now)
@@ -44,12 +44,12 @@
 func TestRequestsAreNotHeldInVain(t *testing.T) {
 	_, address := listeningGate(t, 10)
 	began := time.Now()
-	if reason := reasonOf(t, address); reason != ReasonNoKnowledge || time.Since(began) > 2*startWait {
+	if reason := reasonOf(t, address); reason != ReasonNoKnowledge || time.Since(began) > 2*startupWait {
 		t.Errorf("%s after %v", reason, time.Since(began))
 	}
-	time.Sleep(startTime)
+	time.Sleep(startupPeriod)
 	began = time.Now()
-	if reason := reasonOf(t, address); reason != ReasonNoKnowledge || time.Since(began) > startWait/2 {
+	if reason := reasonOf(t, address); reason != ReasonNoKnowledge || time.Since(began) > startupWait/2 {
 		t.Errorf("%s after %v, long after the start", reason, time.Since(began))
 	}
 }
--- a/internal/gate/break_watch.go
+++ b/internal/gate/break_watch.go
@@ -11,138 +11,138 @@
 )
 
 const (
-	// breakSilence is how long a backend server must show no sign of life after a broken
+	// silenceTimeout is how long a backend server must show no sign of life after a broken
 	// connection before it counts as down.
-	breakSilence = 1500 * time.Millisecond
-	// breakDoubt is that time where requests have been reported as running there. A router
+	silenceTimeout = 1500 * time.Millisecond
+	// reportedSilenceTimeout is that time where requests have been reported as running there. A router
 	// sees only a part of the answers, and what others report of a crashed server is more
 	// than a second old only when those routers have stopped.
-	breakDoubt = 2500 * time.Millisecond
-	// breakRecent is the last part of both times, in which reports count. In the first
+	reportedSilenceTimeout = 2500 * time.Millisecond
+	// reportWindow is the last part of both times, in which reports count. In the first
 	// part they may be older than the crash.
-	breakRecent = 500 * time.Millisecond
-	// breakRanLeast is how much of breakRecent requests must be reported as running for
+	reportWindow = 500 * time.Millisecond
+	// minReportedRunning is how much of breakRecent requests must be reported as running for
 	// the server to count as alive. A request that is just being refused a connection
 	// shows in one report, which holds for a round of beats, 100 ms.
-	breakRanLeast = 150 * time.Millisecond
-	// breakStepMost bounds the time between two calls of judge that counts as watched. A
+	minReportedRunning = 150 * time.Millisecond
+	// maxJudgeGap bounds the time between two calls of judge that counts as watched. A
 	// router that was suspended has seen no sign of life, whatever the server did.
-	breakStepMost = 200 * time.Millisecond
-	// breakMargin is the time after which data on a connection older than the break shows
+	maxJudgeGap = 200 * time.Millisecond
+	// oldConnectionMargin is the time after which data on a connection older than the break shows
 	// that its server lives, counted anew after each suspension of the router. Data
 	// received before a crash may be read later.
-	breakMargin = 250 * time.Millisecond
-	// pendingMost bounds the breaks without a verdict. A crash of a backend server adds
+	oldConnectionMargin = 250 * time.Millisecond
+	// maxPendingResets bounds the breaks without a verdict. A crash of a backend server adds
 	// all requests that it ran.
-	pendingMost = 4096
+	maxPendingResets = 4096
 )
 
-// breakVerdict tells what a broken connection was found to mean. Its values are those of
+// resetVerdict tells what a broken connection was found to mean. Its values are those of
 // the metric's label.
-type breakVerdict string
+type resetVerdict string
 
 const (
-	breakServerWentOn breakVerdict = "server_went_on"
-	breakServerDown   breakVerdict = "server_down"
+	resetServerWentOn resetVerdict = "server_went_on"
+	resetServerDown   resetVerdict = "server_down"
 )
 
-// pendingBreak is a connection that broke while a request ran, before the verdict.
-type pendingBreak struct {
-	print   uint64           // fingerprint of the request
-	at      boottime.Instant // when it was noticed
-	watched time.Duration    // since then, suspensions excluded
-	steady  time.Duration    // part of it since the last suspension
-	ran     time.Duration    // part of breakRecent in which requests were reported there
-	doubted bool             // whether breakDoubt applies
-	refused bool             // whether the server refused a connection afterwards
+// pendingReset is a connection that broke while a request ran, before the verdict.
+type pendingReset struct {
+	fingerprint     uint64           // fingerprint of the request
+	noticedAt       boottime.Instant // when it was noticed
+	watched         time.Duration    // since then, suspensions excluded
+	sinceSuspension time.Duration    // part of it since the last suspension
+	reportedRunning time.Duration    // part of breakRecent in which requests were reported there
+	extended        bool             // whether breakDoubt applies
+	refused         bool             // whether the server refused a connection afterwards
 }
 
-// judgedBreaks are breaks at one backend server that got their verdict together.
-type judgedBreaks struct {
-	incarnation string
-	verdict     breakVerdict
-	prints      []uint64
+// judgedResets are breaks at one backend server that got their verdict together.
+type judgedResets struct {
+	incarnation  string
+	verdict      resetVerdict
+	fingerprints []uint64
 }
 
-// breakWatch decides which broken connections are crashes of backend servers. A break
+// crashDetector decides which broken connections are crashes of backend servers. A break
 // gets its verdict when its server shows that it lives, or when it has shown no sign of
 // life for some time. Moments and what else it rests on are parameters. Its methods may
 // be called concurrently.
-type breakWatch struct {
-	mu      sync.Mutex
-	servers map[string][]pendingBreak // by incarnation
-	prints  map[uint64]int            // how many of them are of a request, by fingerprint
-	last    boottime.Instant          // last call of judge
-	count   atomic.Int64              // breaks in servers
+type crashDetector struct {
+	mu           sync.Mutex
+	byServer     map[string][]pendingReset // by incarnation
+	byRequest    map[uint64]int            // how many of them are of a request, by fingerprint
+	lastJudged   boottime.Instant          // last call of judge
+	pendingCount atomic.Int64              // breaks in servers
 }
 
-func newBreakWatch() *breakWatch {
-	return &breakWatch{servers: make(map[string][]pendingBreak), prints: make(map[uint64]int)}
+func newCrashDetector() *crashDetector {
+	return &crashDetector{byServer: make(map[string][]pendingReset), byRequest: make(map[uint64]int)}
 }
 
-// broke notes that a connection broke while the request ran that was sent at the moment.
+// addReset notes that a connection broke while the request ran that was sent at the moment.
 // Copies of a request that break together are one piece of evidence. It does nothing when
 // too many breaks are pending.
-func (w *breakWatch) broke(incarnation string, print uint64, sent, now boottime.Instant) {
+func (w *crashDetector) addReset(incarnation string, print uint64, sent, now boottime.Instant) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.count.Load() >= pendingMost {
+	if w.pendingCount.Load() >= maxPendingResets {
 		return
 	}
-	for _, known := range w.servers[incarnation] {
-		if known.print == print && sent <= known.at {
+	for _, known := range w.byServer[incarnation] {
+		if known.fingerprint == print && sent <= known.noticedAt {
 			return
 		}
 	}
-	w.servers[incarnation] = append(w.servers[incarnation], pendingBreak{print: print, at: now})
-	w.prints[print]++
-	w.count.Add(1)
+	w.byServer[incarnation] = append(w.byServer[incarnation], pendingReset{fingerprint: print, noticedAt: now})
+	w.byRequest[print]++
+	w.pendingCount.Add(1)
 }
 
-// alive notes data of the server's that were read now, on the connection of a request
+// dataReceived notes data of the server's that were read now, on the connection of a request
 // that was sent at the moment. It returns the breaks that were no crashes. Most calls find
 // no break pending and take no lock.
-func (w *breakWatch) alive(incarnation string, sent, now boottime.Instant) judgedBreaks {
-	if w.count.Load() == 0 {
-		return judgedBreaks{}
+func (w *crashDetector) dataReceived(incarnation string, sent, now boottime.Instant) judgedResets {
+	if w.pendingCount.Load() == 0 {
+		return judgedResets{}
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	old := now.Sub(w.last) > breakStepMost // the data may have waited for the router
-	return w.settle(incarnation, breakServerWentOn, func(b *pendingBreak) bool {
-		if sent > b.at {
+	old := now.Sub(w.lastJudged) > maxJudgeGap // the data may have waited for the router
+	return w.resolve(incarnation, resetServerWentOn, func(b *pendingReset) bool {
+		if sent > b.noticedAt {
 			// After a refused connection the answer is that of the server's successor.
 			return !b.refused
 		}
-		return !old && b.steady >= breakMargin
+		return !old && b.sinceSuspension >= oldConnectionMargin
 	})
 }
 
-// refused notes that the server refused a connection for a request that was placed at the
+// connectionRefused notes that the server refused a connection for a request that was placed at the
 // moment: nothing listens there.
-func (w *breakWatch) refused(incarnation string, placed boottime.Instant) {
+func (w *crashDetector) connectionRefused(incarnation string, placed boottime.Instant) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	breaks := w.servers[incarnation]
+	breaks := w.byServer[incarnation]
 	for i := range breaks {
-		if placed > breaks[i].at {
+		if placed > breaks[i].noticedAt {
 			breaks[i].refused = true
 		}
 	}
 }
 
 // due tells whether judge is to be called.
-func (w *breakWatch) due(now boottime.Instant) bool {
+func (w *crashDetector) due(now boottime.Instant) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return now.Sub(w.last) >= judgeInterval/2
+	return now.Sub(w.lastJudged) >= judgeInterval/2
 }
 
 // incarnations returns those with pending breaks.
-func (w *breakWatch) incarnations() []string {
+func (w *crashDetector) incarnations() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return lo.Keys(w.servers)
+	return lo.Keys(w.byServer)
 }
 
 // serverReport is what is known of an incarnation without its answers.
@@ -156,20 +156,20 @@
 
 // judge returns the breaks that get their verdict now. Time counts as watched only while
 // it is called at least once in breakStepMost.
-func (w *breakWatch) judge(now boottime.Instant, report func(incarnation string) serverReport) []judgedBreaks {
+func (w *crashDetector) judge(now boottime.Instant, report func(incarnation string) serverReport) []judgedResets {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	step := now.Sub(w.last)
-	w.last = now
-	var judged []judgedBreaks
-	for incarnation, breaks := range w.servers {
+	step := now.Sub(w.lastJudged)
+	w.lastJudged = now
+	var judged []judgedResets
+	for incarnation, breaks := range w.byServer {
 		reported := report(incarnation)
 		for i := range breaks {
-			breaks[i].watch(step, now, reported == reportRunning)
+			breaks[i].advance(step, now, reported == reportRunning)
 		}
-		for _, verdict := range []breakVerdict{breakServerDown, breakServerWentOn} {
-			some := w.settle(incarnation, verdict, func(b *pendingBreak) bool { return b.verdict(reported) == verdict })
-			if len(some.prints) > 0 {
+		for _, verdict := range []resetVerdict{resetServerDown, resetServerWentOn} {
+			some := w.resolve(incarnation, verdict, func(b *pendingReset) bool { return b.verdict(reported) == verdict })
+			if len(some.fingerprints) > 0 {
 				judged = append(judged, some)
 			}
 		}
@@ -177,87 +177,87 @@
 	return judged
 }
 
-// watch counts the time since the last look, or since the break if that was later.
-func (b *pendingBreak) watch(step time.Duration, now boottime.Instant, running bool) {
-	step = max(min(step, now.Sub(b.at)), 0)
-	suspended := step > breakStepMost
-	step = min(step, breakStepMost)
+// advance counts the time since the last look, or since the break if that was later.
+func (b *pendingReset) advance(step time.Duration, now boottime.Instant, running bool) {
+	step = max(min(step, now.Sub(b.noticedAt)), 0)
+	suspended := step > maxJudgeGap
+	step = min(step, maxJudgeGap)
 	b.watched += step
-	b.steady += step
+	b.sinceSuspension += step
 	if suspended {
-		b.steady = 0
+		b.sinceSuspension = 0
 	}
 	if running {
 		// Only the part of the step that lies in breakRecent counts.
-		limit := b.limit()
-		b.ran += max(min(b.watched, limit)-max(b.watched-step, limit-breakRecent), 0)
+		limit := b.silenceLimit()
+		b.reportedRunning += max(min(b.watched, limit)-max(b.watched-step, limit-reportWindow), 0)
 	}
-	if !b.doubted && b.ran > 0 && b.watched >= breakSilence {
-		b.doubted, b.ran = true, 0
+	if !b.extended && b.reportedRunning > 0 && b.watched >= silenceTimeout {
+		b.extended, b.reportedRunning = true, 0
 	}
 }
 
-// limit returns how long the server may show no sign of life.
-func (b *pendingBreak) limit() time.Duration {
-	if b.doubted {
-		return breakDoubt
+// silenceLimit returns how long the server may show no sign of life.
+func (b *pendingReset) silenceLimit() time.Duration {
+	if b.extended {
+		return reportedSilenceTimeout
 	}
-	return breakSilence
+	return silenceTimeout
 }
 
 // verdict returns what the break means by now, "" while that is open.
-func (b *pendingBreak) verdict(reported serverReport) breakVerdict {
+func (b *pendingReset) verdict(reported serverReport) resetVerdict {
 	switch {
-	case b.watched < breakSilence:
+	case b.watched < silenceTimeout:
 		return ""
 	case b.refused || reported == reportUnlisted:
-		return breakServerDown
-	case b.watched < b.limit():
+		return resetServerDown
+	case b.watched < b.silenceLimit():
 		return ""
-	case b.ran >= breakRanLeast:
-		return breakServerWentOn
+	case b.reportedRunning >= minReportedRunning:
+		return resetServerWentOn
 	}
-	return breakServerDown
+	return resetServerDown
 }
 
-// settle removes the breaks at a server to which the verdict applies and returns them.
-func (w *breakWatch) settle(incarnation string, verdict breakVerdict, applies func(b *pendingBreak) bool) judgedBreaks {
-	judged := judgedBreaks{incarnation: incarnation, verdict: verdict}
-	breaks := w.servers[incarnation]
+// resolve removes the breaks at a server to which the verdict applies and returns them.
+func (w *crashDetector) resolve(incarnation string, verdict resetVerdict, applies func(b *pendingReset) bool) judgedResets {
+	judged := judgedResets{incarnation: incarnation, verdict: verdict}
+	breaks := w.byServer[incarnation]
 	if len(breaks) == 0 {
 		return judged
 	}
 	kept := breaks[:0]
 	for _, b := range breaks {
 		if applies(&b) {
-			judged.prints = append(judged.prints, b.print)
-			w.forget(b.print)
+			judged.fingerprints = append(judged.fingerprints, b.fingerprint)
+			w.forget(b.fingerprint)
 			continue
 		}
 		kept = append(kept, b)
 	}
-	w.servers[incarnation] = kept
+	w.byServer[incarnation] = kept
 	if len(kept) == 0 {
-		delete(w.servers, incarnation)
+		delete(w.byServer, incarnation)
 	}
-	w.count.Add(-int64(len(judged.prints)))
+	w.pendingCount.Add(-int64(len(judged.fingerprints)))
 	return judged
 }
 
 // forget counts a break of the request out.
-func (w *breakWatch) forget(print uint64) {
-	w.prints[print]--
-	if w.prints[print] == 0 {
-		delete(w.prints, print)
+func (w *crashDetector) forget(print uint64) {
+	w.byRequest[print]--
+	if w.byRequest[print] == 0 {
+		delete(w.byRequest, print)
 	}
 }
 
-// pending returns how many breaks of the request have no verdict yet.
-func (w *breakWatch) pending(print uint64) int {
-	if w.count.Load() == 0 {
+// pendingFor returns how many breaks of the request have no verdict yet.
+func (w *crashDetector) pendingFor(print uint64) int {
+	if w.pendingCount.Load() == 0 {
 		return 0
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.prints[print]
+	return w.byRequest[print]
 }
--- a/internal/gate/breaks.go
+++ b/internal/gate/breaks.go
@@ -17,36 +17,36 @@
 const (
 	// judgeInterval is the pause between two looks at pending breaks, half of
 	// breakStepMost, so that a late look loses no watched time.
-	judgeInterval = breakStepMost / 2
-	// holdInterval is the pause between two looks at the breaks of a held request.
-	holdInterval = 20 * time.Millisecond
-	// holdMost is how long a request is held. A server that lives and streams to other
+	judgeInterval = maxJudgeGap / 2
+	// holdPollInterval is the pause between two looks at the breaks of a held request.
+	holdPollInterval = 20 * time.Millisecond
+	// maxHold is how long a request is held. A server that lives and streams to other
 	// callers shows it sooner, as breakMargin and two looks have passed by then; for a
 	// later verdict the caller comes back.
-	holdMost = 500 * time.Millisecond
+	maxHold = 500 * time.Millisecond
 )
 
-// judgeBreaks gives broken connections their verdicts until the context ends.
-func (h *handler) judgeBreaks(ctx context.Context) error {
-	return every(ctx, judgeInterval, func() { h.judge(boottime.Now()) })
+// judgeResets gives broken connections their verdicts until the context ends.
+func (h *handler) judgeResets(ctx context.Context) error {
+	return every(ctx, judgeInterval, func() { h.judgeDue(boottime.Now()) })
 }
 
-// judge gives the verdicts that are due, unless that was done a moment ago.
-func (h *handler) judge(now boottime.Instant) {
-	if !h.breaks.due(now) {
+// judgeDue gives the verdicts that are due, unless that was done a moment ago.
+func (h *handler) judgeDue(now boottime.Instant) {
+	if !h.crashDetector.due(now) {
 		return
 	}
-	reports := h.reportsOfBroken()
-	for _, judged := range h.breaks.judge(now, func(incarnation string) serverReport { return reports[incarnation] }) {
+	reports := h.serverReports()
+	for _, judged := range h.crashDetector.judge(now, func(incarnation string) serverReport { return reports[incarnation] }) {
 		h.applyVerdict(judged)
 	}
 }
 
-// reportsOfBroken returns what is known of the incarnations with pending breaks. A crash
+// serverReports returns what is known of the incarnations with pending breaks. A crash
 // breaks all requests there, and new ones can't be sent.
-func (h *handler) reportsOfBroken() map[string]serverReport {
+func (h *handler) serverReports() map[string]serverReport {
 	reports := make(map[string]serverReport)
-	for _, incarnation := range h.breaks.incarnations() {
+	for _, incarnation := range h.crashDetector.incarnations() {
 		reports[incarnation] = reportUnlisted
 	}
 	if len(reports) == 0 {
@@ -54,13 +54,13 @@
 	}
 	for _, backend := range h.state.View().Backends {
 		if _, broken := reports[backend.Incarnation]; broken {
-			reports[backend.Incarnation] = h.reportOf(backend)
+			reports[backend.Incarnation] = h.serverReport(backend)
 		}
 	}
 	return reports
 }
 
-func (h *handler) reportOf(backend *knowledge.Backend) serverReport {
+func (h *handler) serverReport(backend *knowledge.Backend) serverReport {
 	own, _ := h.admission.loads.get(backend.Incarnation)
 	if own.Running+h.admission.peers.Load(backend.IncarnationHash).Running > 0 {
 		return reportRunning
@@ -69,31 +69,31 @@
 }
 
 // applyVerdict counts breaks by their verdict, and those by crashes against their requests.
-func (h *handler) applyVerdict(judged judgedBreaks) {
-	if len(judged.prints) == 0 {
+func (h *handler) applyVerdict(judged judgedResets) {
+	if len(judged.fingerprints) == 0 {
 		return
 	}
-	h.metrics.judged(judged.verdict, len(judged.prints))
-	h.records.judged(judged)
-	if judged.verdict != breakServerDown {
+	h.metrics.resetsJudged(judged.verdict, len(judged.fingerprints))
+	h.requestLog.resetsJudged(judged)
+	if judged.verdict != resetServerDown {
 		return
 	}
-	for _, print := range judged.prints {
-		h.suspects.broke(print)
+	for _, print := range judged.fingerprints {
+		h.suspects.crashed(print)
 	}
 }
 
-// heard notes that data of a backend server's were read now, for a request that was sent
+// dataReceived notes that data of a backend server's were read now, for a request that was sent
 // at the moment.
-func (h *handler) heard(backend *knowledge.Backend, sent, now boottime.Instant) {
-	h.applyVerdict(h.breaks.alive(backend.Incarnation, sent, now))
+func (h *handler) dataReceived(backend *knowledge.Backend, sent, now boottime.Instant) {
+	h.applyVerdict(h.crashDetector.dataReceived(backend.Incarnation, sent, now))
 }
 
-// noteRefusal notes a connection that a backend server refused, for a request that was
+// observeConnectError notes a connection that a backend server refused, for a request that was
 // placed at the moment.
-func (h *handler) noteRefusal(backend *knowledge.Backend, placed boottime.Instant, err error) {
+func (h *handler) observeConnectError(backend *knowledge.Backend, placed boottime.Instant, err error) {
 	if errors.Is(err, syscall.ECONNREFUSED) && backendconn.ProgressOf(err) == backendconn.ProgressNone {
-		h.breaks.refused(backend.Incarnation, placed)
+		h.crashDetector.connectionRefused(backend.Incarnation, placed)
 	}
 }
 
@@ -102,26 +102,26 @@
 // server with each try until the first verdict. It returns the refusal, nil to run the
 // request.
 func (h *handler) awaitVerdicts(ctx context.Context, request *Request) *Refusal {
-	until := boottime.Now().Add(holdMost)
+	until := boottime.Now().Add(maxHold)
 	for held := false; ; held = true {
 		convicted := h.suspects.count(request.Fingerprint)
-		if convicted >= breaksMost {
-			return &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonSuspect, RetryAfter: suspectRetry}
+		if convicted >= maxCrashes {
+			return &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonSuspect, RetryAfter: suspectRetryAfter}
 		}
-		if convicted+h.breaks.pending(request.Fingerprint) < breaksMost {
+		if convicted+h.crashDetector.pendingFor(request.Fingerprint) < maxCrashes {
 			if held {
 				return h.identifyAgain(request)
 			}
 			return nil
 		}
 		if boottime.Now() >= until {
-			return &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonSuspect, RetryAfter: breakSilence}
+			return &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonSuspect, RetryAfter: silenceTimeout}
 		}
 		select {
 		case <-ctx.Done():
-			return h.endOfHold(ctx, request)
-		case <-time.After(holdInterval):
-			h.judge(boottime.Now())
+			return h.holdEndedRefusal(ctx, request)
+		case <-time.After(holdPollInterval):
+			h.judgeDue(boottime.Now())
 		}
 	}
 }
@@ -133,10 +133,10 @@
 	return identify(&again, h.state.View(), h.settings.get().Freshness, rand.Float64())
 }
 
-// endOfHold returns the refusal of a request that was held until its time ran out, its
+// holdEndedRefusal returns the refusal of a request that was held until its time ran out, its
 // caller left or draining ended. It has not run.
-func (h *handler) endOfHold(ctx context.Context, request *Request) *Refusal {
-	if drained(ctx) {
+func (h *handler) holdEndedRefusal(ctx context.Context, request *Request) *Refusal {
+	if cancelledByDrain(ctx) {
 		refusal := drainRefusal()
 		return &refusal
 	}
--- a/internal/gate/callerconn.go
+++ b/internal/gate/callerconn.go
@@ -19,14 +19,14 @@
 
 // callerConns are the open connections of callers. Its methods may be called concurrently.
 type callerConns struct {
-	places chan struct{} // holds a token for each
+	slots chan struct{} // holds a token for each
 
 	mu   sync.Mutex
 	open map[*callerConn]bool
 }
 
 func newCallerConns(most int) *callerConns {
-	return &callerConns{places: make(chan struct{}, most), open: make(map[*callerConn]bool)}
+	return &callerConns{slots: make(chan struct{}, most), open: make(map[*callerConn]bool)}
 }
 
 // add adds a connection for which a place has been taken. The connection gives it back when
@@ -44,7 +44,7 @@
 	defer c.mu.Unlock()
 	if c.open[conn] {
 		delete(c.open, conn)
-		<-c.places
+		<-c.slots
 	}
 }
 
@@ -61,7 +61,7 @@
 
 // count returns how many connections are in one of the states.
 func (c *callerConns) count(states ...connState) int {
-	return lo.CountBy(c.all(), func(conn *callerConn) bool { return conn.in(states...) })
+	return lo.CountBy(c.all(), func(conn *callerConn) bool { return conn.inState(states...) })
 }
 
 // busy tells whether a request is being read or served.
@@ -74,9 +74,9 @@
 	}
 }
 
-// closeQuiet closes the connections that wait for a request, the first one included. It
+// closeWaiting closes the connections that wait for a request, the first one included. It
 // returns how many were open.
-func (c *callerConns) closeQuiet() int {
+func (c *callerConns) closeWaiting() int {
 	all := c.all()
 	for _, conn := range all {
 		conn.closeIf(connIdle, connNew)
@@ -112,13 +112,13 @@
 func (c *callerConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
-		c.began()
+		c.markReading()
 	}
 	return n, err
 }
 
-// began notes that bytes have been read.
-func (c *callerConn) began() {
+// markReading notes that bytes have been read.
+func (c *callerConn) markReading() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.state == connNew || c.state == connIdle {
@@ -134,7 +134,7 @@
 	return c.Conn.Close()
 }
 
-func (c *callerConn) in(states ...connState) bool {
+func (c *callerConn) inState(states ...connState) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Contains(states, c.state)
@@ -145,13 +145,13 @@
 // take back bytes that a read has got, so that no request is read and then dropped. The
 // server may replace the deadline by its own, so the call has to be repeated.
 func (c *callerConn) closeIf(states ...connState) {
-	if c.in(states...) && !c.unread() {
-		_ = c.SetReadDeadline(longAgo) // fails if it is closed already
+	if c.inState(states...) && !c.unread() {
+		_ = c.SetReadDeadline(pastDeadline) // fails if it is closed already
 	}
 }
 
-// longAgo is a deadline that has passed.
-var longAgo = time.Unix(1, 0)
+// pastDeadline is a deadline that has passed.
+var pastDeadline = time.Unix(1, 0)
 
 // unread tells whether bytes have arrived that were not read.
 func (c *callerConn) unread() bool {
@@ -178,8 +178,8 @@
 	return n, peekErr
 }
 
-// follow takes the server's state of the connection.
-func (c *callerConn) follow(state http.ConnState) {
+// setState takes the server's state of the connection.
+func (c *callerConn) setState(state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch state {
@@ -216,14 +216,14 @@
 
 // callerCanceled tells whether the server has noticed that the caller closed its connection.
 func callerCanceled(ctx context.Context) bool {
-	return errors.Is(ctx.Err(), context.Canceled) && !drained(ctx)
+	return errors.Is(ctx.Err(), context.Canceled) && !cancelledByDrain(ctx)
 }
 
-// callerLeft tells whether the caller has closed its connection. The server
+// callerDisconnected tells whether the caller has closed its connection. The server
 // notices that as well, but on a busy processor long after: the request would
 // be sent on for nobody. A caller whose time has run out is still there and
 // gets an answer.
-func callerLeft(ctx context.Context) bool {
+func callerDisconnected(ctx context.Context) bool {
 	if callerCanceled(ctx) {
 		return true
 	}
--- a/internal/gate/closures_test.go
+++ b/internal/gate/closures_test.go
@@ -63,14 +63,14 @@
 // busy processor, or when packets are lost, their connections take so long to be opened.
 func TestNothingIsSentToAServerThatClosesWhileConnecting(t *testing.T) {
 	admission := newAdmission(newCurrentSettings(Settings{}), "", noPeers{})
-	run := &run{handler: &handler{admission: admission}}
+	run := &relay{handler: &handler{admission: admission}}
 	backend := &knowledge.Backend{ID: "a", Incarnation: "a"}
-	if err := run.check(t.Context(), backend); err != nil {
+	if err := run.checkBeforeSend(t.Context(), backend); err != nil {
 		t.Errorf("an open server: %v", err)
 	}
 	now := boottime.Now()
 	admission.closures.add("a", now.Add(time.Minute), now)
-	if err := run.check(t.Context(), backend); !errors.Is(err, errClosed) {
+	if err := run.checkBeforeSend(t.Context(), backend); !errors.Is(err, errRejecting) {
 		t.Errorf("a closed server: %v", err)
 	}
 }
--- a/internal/gate/connections.go
+++ b/internal/gate/connections.go
@@ -12,41 +12,41 @@
 	"github.com/bluebellchute/bluebellchute/internal/event"
 )
 
-// connectionsInterval is the pause between two records of opened connections.
-const connectionsInterval = 10 * time.Second
+// connectionLogInterval is the pause between two records of opened connections.
+const connectionLogInterval = 10 * time.Second
 
 // idleBuckets are the bounds of the idle times, in seconds. Connections whose
 // peer states no idle timeout are given up after 0.7 s; stated timeouts are
 // whole seconds, rarely more than a minute.
 var idleBuckets = []float64{0.25, 0.5, 1, 2, 4, 8, 15, 30, 60}
 
-// connections counts the connections opened to backend servers, by reason. Its
+// connectionStats counts the connections opened to backend servers, by reason. Its
 // methods may be called concurrently.
-type connections struct {
+type connectionStats struct {
 	logger logrus.FieldLogger
 	total  *prometheus.CounterVec
 	idle   *prometheus.HistogramVec
 
-	mu        sync.Mutex
-	since     map[backendconn.Reason]int // since the last record
-	idleSince map[backendconn.Reason]*idleTally
+	mu             sync.Mutex
+	openedByReason map[backendconn.Reason]int // since the last record
+	idleByReason   map[backendconn.Reason]*idleTimes
 }
 
-// idleTally sums up the idle times before openings of one reason, and the idle
+// idleTimes sums up the idle times before openings of one reason, and the idle
 // timeouts that the backend servers had stated, 0 for none.
-type idleTally struct {
-	Least       int64 `json:"least_ms"`
-	Mean        int64 `json:"mean_ms"`
-	Most        int64 `json:"most_ms"`
-	StatedLeast int64 `json:"stated_least_ms"`
-	StatedMost  int64 `json:"stated_most_ms"`
+type idleTimes struct {
+	Min       int64 `json:"least_ms"`
+	Mean      int64 `json:"mean_ms"`
+	Max       int64 `json:"most_ms"`
+	StatedMin int64 `json:"stated_least_ms"`
+	StatedMax int64 `json:"stated_most_ms"`
 
 	count int64
 	sum   time.Duration
 }
 
-func newConnections(logger logrus.FieldLogger, registerer prometheus.Registerer) *connections {
-	c := &connections{
+func newConnectionStats(logger logrus.FieldLogger, registerer prometheus.Registerer) *connectionStats {
+	c := &connectionStats{
 		logger: logger,
 		total: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "bluebell_gate_connections_opened_total",
@@ -64,58 +64,58 @@
 }
 
 // newPool returns a pool whose openings are counted.
-func newPool(counted *connections) *backendconn.Pool {
+func newPool(counted *connectionStats) *backendconn.Pool {
 	pool := backendconn.NewPool()
 	pool.OnOpen(counted.opened)
 	return pool
 }
 
-func (c *connections) reset() {
-	c.since = make(map[backendconn.Reason]int)
-	c.idleSince = make(map[backendconn.Reason]*idleTally)
+func (c *connectionStats) reset() {
+	c.openedByReason = make(map[backendconn.Reason]int)
+	c.idleByReason = make(map[backendconn.Reason]*idleTimes)
 }
 
 // opened counts a connection.
-func (c *connections) opened(opening backendconn.Opening) {
+func (c *connectionStats) opened(opening backendconn.Opening) {
 	c.total.WithLabelValues(string(opening.Reason)).Inc()
 	if opening.FollowsIdle() {
 		c.idle.WithLabelValues(string(opening.Reason)).Observe(opening.Idle.Seconds())
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.since[opening.Reason]++
+	c.openedByReason[opening.Reason]++
 	if !opening.FollowsIdle() {
 		return
 	}
-	known := c.idleSince[opening.Reason]
+	known := c.idleByReason[opening.Reason]
 	if known == nil {
-		known = &idleTally{}
-		c.idleSince[opening.Reason] = known
+		known = &idleTimes{}
+		c.idleByReason[opening.Reason] = known
 	}
 	known.add(opening)
 }
 
-func (t *idleTally) add(opening backendconn.Opening) {
+func (t *idleTimes) add(opening backendconn.Opening) {
 	idle, stated := opening.Idle.Milliseconds(), opening.Stated.Milliseconds()
 	if t.count == 0 {
-		t.Least, t.StatedLeast = idle, stated
+		t.Min, t.StatedMin = idle, stated
 	}
 	t.count++
 	t.sum += opening.Idle
-	t.Least, t.Most = min(t.Least, idle), max(t.Most, idle)
-	t.StatedLeast, t.StatedMost = min(t.StatedLeast, stated), max(t.StatedMost, stated)
+	t.Min, t.Max = min(t.Min, idle), max(t.Max, idle)
+	t.StatedMin, t.StatedMax = min(t.StatedMin, stated), max(t.StatedMax, stated)
 	t.Mean = t.sum.Milliseconds() / t.count
 }
 
 // run logs what was opened until the context ends.
-func (c *connections) run(ctx context.Context) error {
-	return every(ctx, connectionsInterval, c.write)
+func (c *connectionStats) run(ctx context.Context) error {
+	return every(ctx, connectionLogInterval, c.logOpened)
 }
 
-// write logs what was opened since the last call, if anything, and counts anew.
-func (c *connections) write() {
+// logOpened logs what was opened since the last call, if anything, and counts anew.
+func (c *connectionStats) logOpened() {
 	c.mu.Lock()
-	opened, idle := c.since, c.idleSince
+	opened, idle := c.openedByReason, c.idleByReason
 	c.reset()
 	c.mu.Unlock()
 	if len(opened) == 0 {
--- a/internal/gate/connections_test.go
+++ b/internal/gate/connections_test.go
@@ -16,8 +16,8 @@
 // opened, and idle times or stated timeouts that get lost.
 func TestConnectionsRecord(t *testing.T) {
 	logger, hook := test.NewNullLogger()
-	counted := newConnections(logger, prometheus.NewRegistry())
-	counted.write()
+	counted := newConnectionStats(logger, prometheus.NewRegistry())
+	counted.logOpened()
 	if n := len(hook.AllEntries()); n != 0 {
 		t.Fatalf("%d records of no openings", n)
 	}
@@ -28,8 +28,8 @@
 	} {
 		counted.opened(opening)
 	}
-	counted.write()
-	counted.write()
+	counted.logOpened()
+	counted.logOpened()
 	if n := len(hook.AllEntries()); n != 1 {
 		t.Fatalf("%d records, want 1", n)
 	}
@@ -41,13 +41,13 @@
 	if got, _ := fields["opened"].(map[backendconn.Reason]int); !maps.Equal(got, want) {
 		t.Errorf("opened %v, want %v", got, want)
 	}
-	idle, _ := fields["idle"].(map[backendconn.Reason]*idleTally)
+	idle, _ := fields["idle"].(map[backendconn.Reason]*idleTimes)
 	if len(idle) != 1 || idle[backendconn.ReasonExpired] == nil {
 		t.Fatalf("idle times of %v, want of expired connections only", idle)
 	}
 	got := *idle[backendconn.ReasonExpired]
 	got.count, got.sum = 0, 0
-	if want := (idleTally{Least: 1000, Mean: 2000, Most: 3000, StatedLeast: 0, StatedMost: 2000}); got != want {
+	if want := (idleTimes{Min: 1000, Mean: 2000, Max: 3000, StatedMin: 0, StatedMax: 2000}); got != want {
 		t.Errorf("idle %+v, want %+v", got, want)
 	}
 }
@@ -57,7 +57,7 @@
 func TestConnectionsMetrics(t *testing.T) {
 	logger, _ := test.NewNullLogger()
 	registry := prometheus.NewRegistry()
-	counted := newConnections(logger, registry)
+	counted := newConnectionStats(logger, registry)
 	counted.opened(backendconn.Opening{Reason: backendconn.ReasonBusy})
 	counted.opened(backendconn.Opening{Reason: backendconn.ReasonClosed, Idle: 3 * time.Second})
 	families, err := registry.Gather()
--- a/internal/gate/crash_fleet_test.go
+++ b/internal/gate/crash_fleet_test.go
@@ -33,7 +33,7 @@
 }
 
 type crashRouter struct {
-	breaks   *breakWatch
+	breaks   *crashDetector
 	suspects *suspects
 	told     []crashNews
 }
@@ -54,7 +54,7 @@
 	f.staleFor = time.Duration(rapid.Int64Range(0, int64(staleMost)).Draw(t, "stale"))
 	f.blips = rapid.Bool().Draw(t, "blips")
 	for range rapid.IntRange(1, 8).Draw(t, "routers") {
-		f.routers = append(f.routers, &crashRouter{breaks: newBreakWatch(), suspects: newSuspects()})
+		f.routers = append(f.routers, &crashRouter{breaks: newCrashDetector(), suspects: newSuspects()})
 	}
 	return f
 }
@@ -78,11 +78,11 @@
 
 func (f *crashFleet) judge(self int, router *crashRouter) {
 	for _, judged := range router.breaks.judge(f.now, f.report) {
-		if judged.verdict != breakServerDown {
+		if judged.verdict != resetServerDown {
 			continue
 		}
-		for _, print := range judged.prints {
-			router.suspects.broke(print)
+		for _, print := range judged.fingerprints {
+			router.suspects.crashed(print)
 			for other := range f.routers {
 				if other != self {
 					f.routers[other].told = append(f.routers[other].told, crashNews{from: self, at: f.now.Add(toldAfter)})
@@ -95,7 +95,7 @@
 // hear takes what other routers have told by now.
 func (f *crashFleet) hear(router *crashRouter) {
 	for len(router.told) > 0 && router.told[0].at <= f.now {
-		router.suspects.heard(fleet.Address(fmt.Sprint("router-", router.told[0].from)), crashPrint)
+		router.suspects.crashReported(fleet.Address(fmt.Sprint("router-", router.told[0].from)), crashPrint)
 		router.told = router.told[1:]
 	}
 }
@@ -123,15 +123,15 @@
 // arrived there.
 func (f *crashFleet) arrive(router *crashRouter, at int) bool {
 	count := router.suspects.count(crashPrint)
-	if count >= breaksMost || count+router.breaks.pending(crashPrint) >= breaksMost {
+	if count >= maxCrashes || count+router.breaks.pendingFor(crashPrint) >= maxCrashes {
 		return false // refused, or held until then
 	}
 	server := &f.servers[at]
 	if server.back != 0 {
-		router.breaks.refused(f.incarnation(at), f.now)
+		router.breaks.connectionRefused(f.incarnation(at), f.now)
 		return false
 	}
-	router.breaks.broke(f.incarnation(at), crashPrint, f.now.Add(-time.Millisecond), f.now)
+	router.breaks.addReset(f.incarnation(at), crashPrint, f.now.Add(-time.Millisecond), f.now)
 	f.crashes = append(f.crashes, f.now)
 	return true
 }
--- a/internal/gate/decisions_test.go
+++ b/internal/gate/decisions_test.go
@@ -103,26 +103,26 @@
 
 func TestSuspectsCountEachRouterOnce(t *testing.T) {
 	suspects := newSuspects()
-	suspects.heard("10.0.0.1:1", 7)
-	suspects.heard("10.0.0.1:1", 7)
+	suspects.crashReported("10.0.0.1:1", 7)
+	suspects.crashReported("10.0.0.1:1", 7)
 	if suspects.refused(7) {
 		t.Error("one break, told twice, counts as two")
 	}
-	suspects.broke(7)
+	suspects.crashed(7)
 	if !suspects.refused(7) {
 		t.Error("two breaks at two routers do not count")
 	}
-	if got := suspects.takeFresh(); len(got) != 1 || got[0] != 7 {
+	if got := suspects.takeUnreported(); len(got) != 1 || got[0] != 7 {
 		t.Errorf("to be told: %v", got)
 	}
 }
 
 func TestSuspectsAreBounded(t *testing.T) {
 	suspects := newSuspects()
-	for print := range uint64(3 * suspectsMost) {
-		suspects.broke(print)
+	for print := range uint64(3 * maxSuspects) {
+		suspects.crashed(print)
 	}
-	if got := len(suspects.known); got > suspectsMost {
+	if got := len(suspects.known); got > maxSuspects {
 		t.Errorf("%d are remembered", got)
 	}
 }
--- a/internal/gate/drain.go
+++ b/internal/gate/drain.go
@@ -11,12 +11,12 @@
 	"github.com/bluebellchute/bluebellchute/internal/boottime"
 )
 
-// drainRetry is the time to come back for a request that a draining router does not take.
+// drainRetryAfter is the time to come back for a request that a draining router does not take.
 // Other routers serve it at once.
-const drainRetry = 50 * time.Millisecond
+const drainRetryAfter = 50 * time.Millisecond
 
-// errDrained is the cause of the end of requests that are in progress when draining ends.
-var errDrained = errors.New("draining has ended")
+// errDrainEnded is the cause of the end of requests that are in progress when draining ends.
+var errDrainEnded = errors.New("draining has ended")
 
 // drainState tells how far the process is on its way to its end. Its methods may be called
 // concurrently.
@@ -27,9 +27,9 @@
 // might be cut in the middle. A request that has been sent to a backend server may be sent to
 // another one until the end. What is in progress then gets a final answer.
 type drainState struct {
-	began  atomic.Int64 // boottime.Instant of the signal to stop, 0 before it
-	ends   atomic.Int64 // boottime.Instant at which requests in progress are ended
-	closed atomic.Bool  // no connections are accepted any more
+	startedAt      atomic.Int64 // boottime.Instant of the signal to stop, 0 before it
+	deadline       atomic.Int64 // boottime.Instant at which requests in progress are ended
+	listenerClosed atomic.Bool  // no connections are accepted any more
 
 	requests context.Context         // that of all requests descends from it
 	cancel   context.CancelCauseFunc // ends it
@@ -40,37 +40,37 @@
 	return &drainState{requests: requests, cancel: cancel}
 }
 
-// begin notes the signal to stop and when requests in progress will be ended.
-func (d *drainState) begin(now, ends boottime.Instant) {
-	d.ends.Store(int64(ends))
-	d.began.Store(int64(now))
+// start notes the signal to stop and when requests in progress will be ended.
+func (d *drainState) start(now, ends boottime.Instant) {
+	d.deadline.Store(int64(ends))
+	d.startedAt.Store(int64(now))
 }
 
-func (d *drainState) draining() bool { return d.began.Load() != 0 }
+func (d *drainState) draining() bool { return d.startedAt.Load() != 0 }
 
-// since returns the time since the signal to stop.
-func (d *drainState) since(now boottime.Instant) time.Duration {
-	return now.Sub(boottime.Instant(d.began.Load()))
+// elapsed returns the time since the signal to stop.
+func (d *drainState) elapsed(now boottime.Instant) time.Duration {
+	return now.Sub(boottime.Instant(d.startedAt.Load()))
 }
 
-// takes tells whether a request that has not been sent to a backend server may be.
-func (d *drainState) takes(request *Request, now boottime.Instant) bool {
+// accepts tells whether a request that has not been sent to a backend server may be.
+func (d *drainState) accepts(request *Request, now boottime.Instant) bool {
 	switch {
-	case !d.closed.Load():
+	case !d.listenerClosed.Load():
 		return true
 	case d.requests.Err() != nil:
 		return false
 	}
-	return request.Left(now) <= boottime.Instant(d.ends.Load()).Sub(now)
+	return request.Left(now) <= boottime.Instant(d.deadline.Load()).Sub(now)
 }
 
 // end ends the requests in progress and takes none any more.
-func (d *drainState) end() { d.cancel(errDrained) }
+func (d *drainState) end() { d.cancel(errDrainEnded) }
 
-// drained tells whether the context ended because draining has ended.
-func drained(ctx context.Context) bool { return context.Cause(ctx) == errDrained }
+// cancelledByDrain tells whether the context ended because draining has ended.
+func cancelledByDrain(ctx context.Context) bool { return context.Cause(ctx) == errDrainEnded }
 
 // drainRefusal is the answer to a request that may not be sent any more and has not run.
 func drainRefusal() Refusal {
-	return Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonDraining, RetryAfter: drainRetry}
+	return Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonDraining, RetryAfter: drainRetryAfter}
 }
--- a/internal/gate/drain_idle_test.go
+++ b/internal/gate/drain_idle_test.go
@@ -25,11 +25,11 @@
 			t.Fatal(err)
 		}
 		time.Sleep(20 * time.Millisecond) // until the connection is idle
-		g.entry.drain.closed.Store(true)
+		g.acceptor.drain.listenerClosed.Store(true)
 		err = raw.Control(func(fd uintptr) {
 			// The server can't run between the two.
 			_, _ = unix.Write(int(fd), []byte("GET /none HTTP/1.1\r\nHost: h\r\n\r\n"))
-			g.entry.callers.closeIdle()
+			g.acceptor.callers.closeIdle()
 		})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/gate/drain_race_test.go
+++ b/internal/gate/drain_race_test.go
@@ -14,13 +14,13 @@
 	"github.com/bluebellchute/bluebellchute/internal/fleet"
 )
 
-// calm is a processor that bears all callers.
-type calm struct{}
+// idleCPU is a processor that bears all callers.
+type idleCPU struct{}
 
-func (calm) standing() bool       { return false }
-func (calm) shed()                {}
-func (calm) relieved() bool       { return true }
-func (calm) relief(time.Duration) {}
+func (idleCPU) stalled() bool                { return false }
+func (idleCPU) recordShedding()              {}
+func (idleCPU) recovered() bool              { return true }
+func (idleCPU) recordRecovery(time.Duration) {}
 
 // Guards against a request that is read after the last look for requests in progress, and
 // whose connection is then closed without an answer.
@@ -31,7 +31,7 @@
 		var group sync.WaitGroup
 		for i := range together {
 			// Around the moment at which no request has been in progress for long enough.
-			moment := drainQuiet + time.Duration((first+i)%50)*100*time.Microsecond
+			moment := drainQuietPeriod + time.Duration((first+i)%50)*100*time.Microsecond
 			group.Go(func() { lost.Add(lostAtEnd(t, moment)) })
 		}
 		group.Wait()
@@ -49,7 +49,7 @@
 	handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Connection", "close")
 	})
-	e := newEntry(handler, 4*requests, calm{}, drain)
+	e := newAcceptor(handler, 4*requests, idleCPU{}, drain)
 	address := freeAddress(t)
 	go func() { _ = e.run(t.Context(), fleet.Address(address)) }() // ends with the listener
 	awaitListener(t, address)
@@ -85,7 +85,7 @@
 			if _, err := http.ReadResponse(bufio.NewReader(conn), nil); err == nil {
 				return
 			}
-			if server := at[conn.LocalAddr().String()]; server != nil && server.in(connReading, connServing) {
+			if server := at[conn.LocalAddr().String()]; server != nil && server.inState(connReading, connServing) {
 				lost.Add(1)
 			}
 		})
--- a/internal/gate/drain_test.go
+++ b/internal/gate/drain_test.go
@@ -227,7 +227,7 @@
 func (g *drainingGate) applyOtherLimits() {
 	limits := defaultLimits
 	limits.HeaderBytes /= 2
-	g.entry.apply(limits)
+	g.acceptor.applyLimits(limits)
 }
 
 // Guards against connections that are closed without an answer when draining ends.
@@ -253,19 +253,19 @@
 	d := newDrainState()
 	now := boottime.Now()
 	request := &Request{Received: now, Limit: time.Second}
-	if !d.takes(request, now) {
+	if !d.accepts(request, now) {
 		t.Error("a request is refused without a signal to stop")
 	}
-	d.begin(now, now.Add(5*time.Second))
-	if !d.takes(&Request{Received: now, Limit: time.Minute}, now) {
+	d.start(now, now.Add(5*time.Second))
+	if !d.accepts(&Request{Received: now, Limit: time.Minute}, now) {
 		t.Error("a request is refused before the balancer has heard")
 	}
-	d.closed.Store(true)
-	if !d.takes(request, now) {
+	d.listenerClosed.Store(true)
+	if !d.accepts(request, now) {
 		t.Error("a request that ends in time is refused")
 	}
 	late := now.Add(4500 * time.Millisecond)
-	if d.takes(&Request{Received: late, Limit: time.Second}, late) {
+	if d.accepts(&Request{Received: late, Limit: time.Second}, late) {
 		t.Error("a request is taken that may last beyond the end")
 	}
 }
--- a/internal/gate/entry.go
+++ b/internal/gate/entry.go
@@ -26,60 +26,60 @@
 	IdleTimeout:   30 * time.Second,
 }
 
-// acceptPause is the pause after a failed accept, mostly for want of
+// acceptRetryInterval is the pause after a failed accept, mostly for want of
 // descriptors.
-const acceptPause = 20 * time.Millisecond
-
-// processor tells whether the router's processor bears more callers.
-type processor interface {
-	// standing tells whether requests in hand do not get on.
-	standing() bool
-	// shed notes that callers are turned away for it.
-	shed()
-	// relieved tells whether requests get on without a wait again.
-	relieved() bool
-	// relief notes for how long callers were turned away.
-	relief(turnedAway time.Duration)
+const acceptRetryInterval = 20 * time.Millisecond
+
+// cpuMonitor tells whether the router's processor bears more callers.
+type cpuMonitor interface {
+	// stalled tells whether requests in hand do not get on.
+	stalled() bool
+	// recordShedding notes that callers are turned away for it.
+	recordShedding()
+	// recovered tells whether requests get on without a wait again.
+	recovered() bool
+	// recordRecovery notes for how long callers were turned away.
+	recordRecovery(turnedAway time.Duration)
 }
 
-// entry accepts callers' connections. Each connection keeps the limits that
+// acceptor accepts callers' connections. Each connection keeps the limits that
 // were in force when it was opened.
-type entry struct {
+type acceptor struct {
 	handler http.Handler
 	callers *callerConns
-	load    processor
+	cpu     cpuMonitor
 
 	mu       sync.Mutex
 	listener net.Listener
-	current  *generation
-	all      []*generation
+	current  *limitedServer
+	servers  []*limitedServer
 
 	drain *drainState
 }
 
-// generation is a server with the limits of one configuration.
-type generation struct {
+// limitedServer is a server with the limits of one configuration.
+type limitedServer struct {
 	limits knowledge.Limits
 	server *http.Server
-	conns  *handedListener
+	conns  *chanListener
 }
 
-func newEntry(handler http.Handler, connections int, load processor, drain *drainState) *entry {
-	e := &entry{handler: handler, callers: newCallerConns(connections), load: load, drain: drain}
-	e.apply(defaultLimits)
+func newAcceptor(handler http.Handler, connections int, load cpuMonitor, drain *drainState) *acceptor {
+	e := &acceptor{handler: handler, callers: newCallerConns(connections), cpu: load, drain: drain}
+	e.applyLimits(defaultLimits)
 	return e
 }
 
-// apply serves connections opened from now on within the limits.
-func (e *entry) apply(limits knowledge.Limits) {
+// applyLimits serves connections opened from now on within the limits.
+func (e *acceptor) applyLimits(limits knowledge.Limits) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.current != nil && sameEntryLimits(e.current.limits, limits) {
+	if e.current != nil && sameConnectionLimits(e.current.limits, limits) {
 		return
 	}
-	next := &generation{
+	next := &limitedServer{
 		limits: limits,
-		conns:  newHandedListener(),
+		conns:  newChanListener(),
 		server: &http.Server{
 			Handler:           e.handler,
 			MaxHeaderBytes:    limits.HeaderBytes,
@@ -89,17 +89,17 @@
 			ErrorLog:    log.New(io.Discard, "", 0),
 			BaseContext: func(net.Listener) context.Context { return e.drain.requests },
 			ConnContext: withCallerConn,
-			ConnState:   e.noteState,
+			ConnState:   e.connStateChanged,
 			// OPTIONS * is a request like any other.
 			DisableGeneralOptionsHandler: true,
 		},
 	}
 	e.current = next
-	e.all = append(e.all, next)
+	e.servers = append(e.servers, next)
 	go func() { _ = next.server.Serve(next.conns) }() // ends with the listener only
 }
 
-func sameEntryLimits(a, b knowledge.Limits) bool {
+func sameConnectionLimits(a, b knowledge.Limits) bool {
 	return a.HeaderBytes == b.HeaderBytes && a.HeaderTimeout == b.HeaderTimeout && a.IdleTimeout == b.IdleTimeout
 }
 
@@ -111,8 +111,8 @@
 // everything to a standstill for as long as they come. A connection that is reset
 // by the kernel costs it nothing, and its caller tries another router at once; one
 // that waits to be accepted is given up only after a second.
-func (e *entry) run(ctx context.Context, address fleet.Address) error {
-	for ctx.Err() == nil && !e.drain.closed.Load() {
+func (e *acceptor) run(ctx context.Context, address fleet.Address) error {
+	for ctx.Err() == nil && !e.drain.listenerClosed.Load() {
 		listener, err := e.listen(ctx, address)
 		if err != nil {
 			return fleet.Wrap(err, fleet.StepAccept, address)
@@ -120,14 +120,14 @@
 		e.accept(ctx, listener)
 		_ = listener.Close() // it may be closed already
 		shut := boottime.Now()
-		if e.awaitRelief(ctx) {
-			e.load.relief(boottime.Now().Sub(shut))
+		if e.awaitRecovery(ctx) {
+			e.cpu.recordRecovery(boottime.Now().Sub(shut))
 		}
 	}
 	return nil
 }
 
-func (e *entry) listen(ctx context.Context, address fleet.Address) (net.Listener, error) {
+func (e *acceptor) listen(ctx context.Context, address fleet.Address) (net.Listener, error) {
 	config := net.ListenConfig{KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: callerKeepAlive, Interval: callerKeepAlive, Count: 2}}
 	listener, err := config.Listen(ctx, "tcp", string(address))
 	if err != nil {
@@ -136,7 +136,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.listener = listener
-	if e.drain.closed.Load() {
+	if e.drain.listenerClosed.Load() {
 		_ = listener.Close() // stopAccepting came first
 	}
 	return listener, nil
@@ -144,119 +144,119 @@
 
 // accept accepts connections until the listener is closed, the context ends or
 // requests in hand do not get on.
-func (e *entry) accept(ctx context.Context, listener net.Listener) {
+func (e *acceptor) accept(ctx context.Context, listener net.Listener) {
 	stop := context.AfterFunc(ctx, e.stopAccepting)
 	defer stop()
 	for {
-		e.callers.places <- struct{}{}
-		if e.load.standing() {
-			<-e.callers.places
-			e.load.shed()
+		e.callers.slots <- struct{}{}
+		if e.cpu.stalled() {
+			<-e.callers.slots
+			e.cpu.recordShedding()
 			return
 		}
 		conn, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
-			<-e.callers.places
+			<-e.callers.slots
 			return
 		}
 		if err != nil {
-			<-e.callers.places
-			time.Sleep(acceptPause)
+			<-e.callers.slots
+			time.Sleep(acceptRetryInterval)
 			continue
 		}
 		e.mu.Lock()
 		current := e.current
 		e.mu.Unlock()
-		current.conns.hand(e.callers.add(conn))
+		current.conns.pass(e.callers.add(conn))
 	}
 }
 
-// reliefPause is the pause between two looks at whether requests get on.
-const reliefPause = 5 * time.Millisecond
+// recoveryPollInterval is the pause between two looks at whether requests get on.
+const recoveryPollInterval = 5 * time.Millisecond
 
-// awaitRelief waits until requests in hand get on without a wait. It returns false
+// awaitRecovery waits until requests in hand get on without a wait. It returns false
 // when the entry is closed.
-func (e *entry) awaitRelief(ctx context.Context) bool {
-	for !e.load.relieved() {
-		if ctx.Err() != nil || e.drain.closed.Load() {
+func (e *acceptor) awaitRecovery(ctx context.Context) bool {
+	for !e.cpu.recovered() {
+		if ctx.Err() != nil || e.drain.listenerClosed.Load() {
 			return false
 		}
-		time.Sleep(reliefPause)
+		time.Sleep(recoveryPollInterval)
 	}
-	return ctx.Err() == nil && !e.drain.closed.Load()
+	return ctx.Err() == nil && !e.drain.listenerClosed.Load()
 }
 
 // callerKeepAlive finds callers that vanished without closing.
 const callerKeepAlive = 5 * time.Second
 
-// crowdedShare is the part of the connections from which each is closed after
+// keepAliveShare is the part of the connections from which each is closed after
 // its next answer.
-const crowdedShare = 0.4
+const keepAliveShare = 0.4
 
-// closing tells whether a connection is to be closed after its answer.
-func (e *entry) closing() bool { return e.drain.draining() || e.crowded() }
+// closeAfterAnswer tells whether a connection is to be closed after its answer.
+func (e *acceptor) closeAfterAnswer() bool { return e.drain.draining() || e.nearConnectionLimit() }
 
-// crowded tells whether callers hold so many connections open that the rest
+// nearConnectionLimit tells whether callers hold so many connections open that the rest
 // may not suffice. Callers that come back after a refusal open a new connection
 // each time and leave it open; once none can be accepted any more, requests
 // wait a second for their connection and are read after their callers left.
-func (e *entry) crowded() bool {
-	places := e.callers.places
-	return float64(len(places)) > float64(cap(places))*crowdedShare
+func (e *acceptor) nearConnectionLimit() bool {
+	places := e.callers.slots
+	return float64(len(places)) > float64(cap(places))*keepAliveShare
 }
 
-func (e *entry) stopAccepting() {
+func (e *acceptor) stopAccepting() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.drain.closed.Store(true)
+	e.drain.listenerClosed.Store(true)
 	if e.listener != nil {
 		_ = e.listener.Close() // there is no use for it any more
 	}
 }
 
 const (
-	// drainLook is the pause between two looks at whether requests are in progress.
-	drainLook = 10 * time.Millisecond
-	// drainQuiet is how long none must be until draining ends before its time. A request
+	// drainPollInterval is the pause between two looks at whether requests are in progress.
+	drainPollInterval = 10 * time.Millisecond
+	// drainQuietPeriod is how long none must be until draining ends before its time. A request
 	// may be on its way on a connection that was accepted just before the listener closed.
-	drainQuiet = 50 * time.Millisecond
-	// answerTime is how long requests that are ended have for their final answers.
-	answerTime = 150 * time.Millisecond
+	drainQuietPeriod = 50 * time.Millisecond
+	// finalAnswerTimeout is how long requests that are ended have for their final answers.
+	finalAnswerTimeout = 150 * time.Millisecond
 )
 
 // finish waits until no request is in progress or the context ends, ends what is left, and
 // closes all connections. It returns how many requests were left.
 //
 // The servers are not shut down: they would read a request, drop it and close its connection.
-func (e *entry) finish(ctx context.Context) int {
-	left := e.awaitQuiet(ctx)
+func (e *acceptor) finish(ctx context.Context) int {
+	left := e.awaitIdle(ctx)
 	e.drain.end()
 	e.awaitClosed()
-	for _, server := range e.servers() {
+	for _, server := range e.httpServers() {
 		_ = server.Close() // only connections of stalled callers are left
 	}
 	return left
 }
 
-// servers returns those of all limits that were in force since the start.
-func (e *entry) servers() []*http.Server {
+// httpServers returns those of all limits that were in force since the start.
+func (e *acceptor) httpServers() []*http.Server {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return lo.Map(e.all, func(g *generation, _ int) *http.Server { return g.server })
+	return lo.Map(e.servers, func(g *limitedServer, _ int) *http.Server { return g.server })
 }
 
-// awaitQuiet waits until no request has been in progress for a moment or the context ends.
+// awaitIdle waits until no request has been in progress for a moment or the context ends.
 // It closes idle connections meanwhile, and returns how many requests are in progress then.
-func (e *entry) awaitQuiet(ctx context.Context) int {
+func (e *acceptor) awaitIdle(ctx context.Context) int {
 	quiet := time.Duration(0)
-	for quiet < drainQuiet {
+	for quiet < drainQuietPeriod {
 		e.callers.closeIdle()
 		select {
 		case <-ctx.Done():
 			return e.callers.count(connServing)
-		case <-time.After(drainLook):
+		case <-time.After(drainPollInterval):
 		}
-		quiet += drainLook
+		quiet += drainPollInterval
 		if e.callers.busy() {
 			quiet = 0
 		}
@@ -266,38 +266,38 @@
 
 // awaitClosed closes each connection once no request is being read or served on it. It
 // returns when all are closed, or after answerTime.
-func (e *entry) awaitClosed() {
-	for ends := boottime.Now().Add(answerTime); boottime.Now() < ends; time.Sleep(drainLook) {
-		if e.callers.closeQuiet() == 0 {
+func (e *acceptor) awaitClosed() {
+	for ends := boottime.Now().Add(finalAnswerTimeout); boottime.Now() < ends; time.Sleep(drainPollInterval) {
+		if e.callers.closeWaiting() == 0 {
 			return
 		}
 	}
 }
 
-// noteState follows a server's state of a connection. One that gets idle late in draining
+// connStateChanged follows a server's state of a connection. One that gets idle late in draining
 // may have had no answer that told its end.
-func (e *entry) noteState(conn net.Conn, state http.ConnState) {
+func (e *acceptor) connStateChanged(conn net.Conn, state http.ConnState) {
 	if caller, ok := conn.(*callerConn); ok {
-		caller.follow(state)
+		caller.setState(state)
 	}
-	if state == http.StateIdle && e.drain.closed.Load() {
+	if state == http.StateIdle && e.drain.listenerClosed.Load() {
 		_ = conn.Close() // its caller may have closed it
 	}
 }
 
-// handedListener is a net.Listener whose connections are handed to it.
-type handedListener struct {
+// chanListener is a net.Listener whose connections are handed to it.
+type chanListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
 	once   sync.Once
 }
 
-func newHandedListener() *handedListener {
-	return &handedListener{conns: make(chan net.Conn), closed: make(chan struct{})}
+func newChanListener() *chanListener {
+	return &chanListener{conns: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-// hand gives a connection to the server that accepts from the listener.
-func (l *handedListener) hand(conn net.Conn) {
+// pass gives a connection to the server that accepts from the listener.
+func (l *chanListener) pass(conn net.Conn) {
 	select {
 	case l.conns <- conn:
 	case <-l.closed:
@@ -306,7 +306,7 @@
 }
 
 // Accept implements net.Listener.
-func (l *handedListener) Accept() (net.Conn, error) {
+func (l *chanListener) Accept() (net.Conn, error) {
 	select {
 	case conn := <-l.conns:
 		return conn, nil
@@ -316,10 +316,10 @@
 }
 
 // Close implements net.Listener.
-func (l *handedListener) Close() error {
+func (l *chanListener) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	return nil
 }
 
 // Addr implements net.Listener.
-func (l *handedListener) Addr() net.Addr { return &net.TCPAddr{} }
+func (l *chanListener) Addr() net.Addr { return &net.TCPAddr{} }
--- a/internal/gate/entry_test.go
+++ b/internal/gate/entry_test.go
@@ -223,7 +223,7 @@
 
 func TestLimitsOfNewConfigurationHold(t *testing.T) {
 	manager, address := listeningGate(t, 10)
-	manager.entry.apply(knowledge.Limits{HeaderBytes: 1 << 10, HeaderTimeout: 100 * time.Millisecond, IdleTimeout: 100 * time.Millisecond})
+	manager.acceptor.applyLimits(knowledge.Limits{HeaderBytes: 1 << 10, HeaderTimeout: 100 * time.Millisecond, IdleTimeout: 100 * time.Millisecond})
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -239,35 +239,35 @@
 	}
 }
 
-// fakeProcessor stands still or not as a test says.
-type fakeProcessor struct {
-	stands  atomic.Bool
-	sheds   atomic.Int64
-	reliefs atomic.Int64
+// fakeCPU stands still or not as a test says.
+type fakeCPU struct {
+	isStalled  atomic.Bool
+	sheddings  atomic.Int64
+	recoveries atomic.Int64
 }
 
-func (p *fakeProcessor) standing() bool { return p.stands.Load() }
-func (p *fakeProcessor) shed()          { p.sheds.Add(1) }
-func (p *fakeProcessor) relieved() bool { return !p.stands.Load() }
+func (p *fakeCPU) stalled() bool   { return p.isStalled.Load() }
+func (p *fakeCPU) recordShedding() { p.sheddings.Add(1) }
+func (p *fakeCPU) recovered() bool { return !p.isStalled.Load() }
 
-func (p *fakeProcessor) relief(time.Duration) { p.reliefs.Add(1) }
+func (p *fakeCPU) recordRecovery(time.Duration) { p.recoveries.Add(1) }
 
 // Symptom: requests in hand are late, and callers wait for a second to find that
 // a router does not serve them.
 // Events: one small VM gets more callers than it can even refuse.
 // Cause: all were accepted, or left waiting to be.
 func TestCallersAreTurnedAwayWhileRequestsStandStill(t *testing.T) {
-	load := new(fakeProcessor)
+	load := new(fakeCPU)
 	handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
 	address := freeAddress(t)
-	e := newEntry(handler, 100, load, newDrainState())
+	e := newAcceptor(handler, 100, load, newDrainState())
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- e.run(ctx, fleet.Address(address)) }()
 	t.Cleanup(func() { cancel(); <-ended })
 	awaitListener(t, address)
 	time.Sleep(10 * time.Millisecond) // the next accept has begun
-	load.stands.Store(true)
+	load.isStalled.Store(true)
 	first := dial(t, address)
 	if !answersWithin(t, first, time.Second) {
 		t.Fatal("the connection that was awaited already has no answer")
@@ -277,16 +277,16 @@
 		conn.Close()
 		t.Error("a caller is connected though requests in hand stand still")
 	}
-	if load.sheds.Load() != 1 {
-		t.Errorf("the balancer hears of %d overloads, want one", load.sheds.Load())
+	if load.sheddings.Load() != 1 {
+		t.Errorf("the balancer hears of %d overloads, want one", load.sheddings.Load())
 	}
-	load.stands.Store(false)
+	load.isStalled.Store(false)
 	awaitListener(t, address)
 	if !answersWithin(t, dial(t, address), time.Second) {
 		t.Error("a caller is not served after the standstill")
 	}
-	if load.reliefs.Load() != 1 {
-		t.Errorf("%d reliefs are told, want one", load.reliefs.Load())
+	if load.recoveries.Load() != 1 {
+		t.Errorf("%d reliefs are told, want one", load.recoveries.Load())
 	}
 }
 
@@ -294,15 +294,15 @@
 // listen, and never ends.
 // Events: an overload; the signal to stop; the overload ends.
 func TestStopWhileCallersAreTurnedAway(t *testing.T) {
-	load := new(fakeProcessor)
-	load.stands.Store(true)
+	load := new(fakeCPU)
+	load.isStalled.Store(true)
 	address := freeAddress(t)
-	e := newEntry(http.NotFoundHandler(), 100, load, newDrainState())
+	e := newAcceptor(http.NotFoundHandler(), 100, load, newDrainState())
 	ended := make(chan error, 1)
 	go func() { ended <- e.run(t.Context(), fleet.Address(address)) }()
 	time.Sleep(20 * time.Millisecond)
 	e.stopAccepting()
-	load.stands.Store(false)
+	load.isStalled.Store(false)
 	select {
 	case err := <-ended:
 		if err != nil {
--- a/internal/gate/handler.go
+++ b/internal/gate/handler.go
@@ -54,23 +54,23 @@
 
 // handler answers callers.
 type handler struct {
-	settings  *currentSettings
-	dialect   Dialect
-	state     *knowledge.State
-	pool      *backendconn.Pool
-	admission *admission
-	budget    *retryBudget
-	suspects  *suspects
-	breaks    *breakWatch
-	records   *records
-	metrics   *metrics
-	started   boottime.Instant
-	bodies    atomic.Int64 // bytes of the requests held
-	drain     *drainState
-	closing   func() bool // whether connections are to be closed after their answers
-	isolated  atomic.Bool // whether callers are served better elsewhere
-	drained   atomic.Bool // whether an operator wants callers to go elsewhere
-	lag       *lagMeter
+	settings          *currentSettings
+	dialect           Dialect
+	state             *knowledge.State
+	pool              *backendconn.Pool
+	admission         *admission
+	budget            *retryBudget
+	suspects          *suspects
+	crashDetector     *crashDetector
+	requestLog        *requestLog
+	metrics           *metrics
+	startedAt         boottime.Instant
+	bodyBytes         atomic.Int64 // bytes of the requests held
+	drain             *drainState
+	closeAfterAnswer  func() bool // whether connections are to be closed after their answers
+	isolated          atomic.Bool // whether callers are served better elsewhere
+	drainedByOperator atomic.Bool // whether an operator wants callers to go elsewhere
+	lag               *lagMeter
 }
 
 // ServeHTTP implements http.Handler. A request meets the decisions in this order; each
@@ -90,10 +90,10 @@
 //  7. retryBudget: for each further send, whether the fleet may still make one.
 func (h *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	received := boottime.Now()
-	if h.lag.busy(received) || h.closing() || h.isolated.Load() || h.drained.Load() {
+	if h.lag.busy(received) || h.closeAfterAnswer() || h.isolated.Load() || h.drainedByOperator.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	view := h.awaitKnowledge(r.Context(), received)
+	view := h.awaitFleetState(r.Context(), received)
 	request, err := h.dialect.Decode(r)
 	if err != nil {
 		h.refuse(w, nil, Refusal{Status: http.StatusBadRequest, Reason: ReasonMalformed})
@@ -105,23 +105,23 @@
 		h.refuse(w, request, *refusal)
 		return
 	}
-	if !h.drain.takes(request, received) {
+	if !h.drain.accepts(request, received) {
 		h.admission.shut(request)
 		h.refuse(w, request, drainRefusal())
 		return
 	}
 	// What is refused counts too: the others would else use the account's part.
 	h.admission.asked(request)
-	h.records.tally.asked(request)
+	h.requestLog.tally.asked(request)
 	owed := func() bool { return h.admission.owed(request, view) }
-	if !h.lag.takes(received, owed, rand.Float64()) {
+	if !h.lag.accepts(received, owed, rand.Float64()) {
 		// Requests in progress would not get on if more were taken.
 		retry := h.admission.retryAfter(request)
 		h.refuse(w, request, Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonOverloaded, RetryAfter: retry})
 		return
 	}
 	size, refusal := h.readBody(w, r, request, view)
-	defer h.bodies.Add(-size)
+	defer h.bodyBytes.Add(-size)
 	if refusal != nil {
 		h.refuse(w, request, *refusal)
 		return
@@ -129,27 +129,27 @@
 	request.Fingerprint = fingerprint(request)
 	ctx, cancel := context.WithTimeout(r.Context(), request.Left(boottime.Now()))
 	defer cancel()
-	h.bound(w, request)
-	h.noteDrain(r.Context(), request)
+	h.setWriteDeadline(w, request)
+	h.recordAcceptedDraining(r.Context(), request)
 	h.serve(ctx, w, request)
 }
 
-// noteDrain tells of a request that is taken although no connections are accepted any more.
-func (h *handler) noteDrain(ctx context.Context, request *Request) {
-	if !h.drain.closed.Load() {
+// recordAcceptedDraining tells of a request that is taken although no connections are accepted any more.
+func (h *handler) recordAcceptedDraining(ctx context.Context, request *Request) {
+	if !h.drain.listenerClosed.Load() {
 		return
 	}
-	h.metrics.takenDraining()
-	h.records.takenDraining(request, h.drain.since(request.Received), callerConnOf(ctx))
+	h.metrics.acceptedDraining()
+	h.requestLog.acceptedDraining(request, h.drain.elapsed(request.Received), callerConnOf(ctx))
 }
 
 // writeSlack is how long after its limit an answer may still be on its way to
 // a caller that reads slowly.
 const writeSlack = 2 * time.Second
 
-// bound ends writes to a caller that does not read. Its answer would else be
+// setWriteDeadline ends writes to a caller that does not read. Its answer would else be
 // held for good.
-func (h *handler) bound(w http.ResponseWriter, request *Request) {
+func (h *handler) setWriteDeadline(w http.ResponseWriter, request *Request) {
 	control := http.NewResponseController(w)
 	// Connections of tests have no deadlines; those of callers do.
 	_ = control.SetWriteDeadline(time.Now().Add(request.Limit + writeSlack))
@@ -166,7 +166,7 @@
 	if most > 0 && counted > most {
 		return 0, &Refusal{Status: http.StatusRequestEntityTooLarge, Reason: ReasonBodyTooLarge}
 	}
-	if h.bodies.Add(counted) > h.settings.get().BodyMemory {
+	if h.bodyBytes.Add(counted) > h.settings.get().BodyMemory {
 		return counted, &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonMemory, RetryAfter: startRetry}
 	}
 	control := http.NewResponseController(w)
@@ -180,7 +180,7 @@
 	_ = control.SetReadDeadline(time.Time{})
 	request.Body = data
 	if more := int64(len(data)) - counted; more > 0 {
-		h.bodies.Add(more)
+		h.bodyBytes.Add(more)
 		counted += more
 	}
 	var tooLarge *http.MaxBytesError
@@ -200,13 +200,13 @@
 		h.refuse(w, request, *refusal)
 		return
 	}
-	run := &run{handler: h, request: request, writer: w, excluded: make(map[string]bool)}
+	run := &relay{handler: h, request: request, writer: w, excluded: make(map[string]bool)}
 	run.loop(ctx)
 }
 
-// suspectRetry is the time to come back for a request that breaks backend
+// suspectRetryAfter is the time to come back for a request that breaks backend
 // servers. It is long, as nothing will have changed.
-const suspectRetry = 5 * time.Second
+const suspectRetryAfter = 5 * time.Second
 
 // refusalBody is the body of an answer of the router's own.
 type refusalBody struct {
@@ -224,7 +224,7 @@
 
 // refuse answers a request that no backend server has answered.
 func (h *handler) refuse(w http.ResponseWriter, request *Request, refusal Refusal) {
-	h.records.refused(request, refusal)
+	h.requestLog.refused(request, refusal)
 	h.metrics.refused(refusal)
 	header := w.Header()
 	header.Set("Content-Type", "application/json")
--- a/internal/gate/lag_test.go
+++ b/internal/gate/lag_test.go
@@ -31,7 +31,7 @@
 func notes(m *lagMeter, count int, lag time.Duration, now boottime.Instant) boottime.Instant {
 	for range count {
 		now = now.Add(lagInterval + lag)
-		m.note(lag, now)
+		m.observe(lag, now)
 	}
 	return now
 }
@@ -61,11 +61,11 @@
 func TestLongWaitIsNoticedBeforeItEnds(t *testing.T) {
 	m := testLagMeter()
 	now := boottime.Now()
-	m.yielded.Store(int64(now))
-	if m.busy(now.Add(pendingFrom / 2)) {
+	m.yieldedAt.Store(int64(now))
+	if m.busy(now.Add(stallLag / 2)) {
 		t.Error("a short wait counts")
 	}
-	if !m.busy(now.Add(2 * pendingFrom)) {
+	if !m.busy(now.Add(2 * stallLag)) {
 		t.Error("a long wait does not count")
 	}
 }
@@ -76,15 +76,15 @@
 func TestOverloadedRouterTakesWhatItCan(t *testing.T) {
 	m := testLagMeter()
 	now := notes(m, 200, 150*time.Millisecond, boottime.Now())
-	if m.share() != shareLeast || m.takes(now, beyond, 0) || !m.takes(now, owed, 0) {
+	if m.share() != minShare || m.accepts(now, beyond, 0) || !m.accepts(now, owed, 0) {
 		t.Errorf("the share of requests taken is %v after a long overload, want the least, all of it for what is owed", m.share())
 	}
 	now = notes(m, 30, 0, now)
-	if share := m.share(); share <= shareLeast || share >= 1 {
+	if share := m.share(); share <= minShare || share >= 1 {
 		t.Errorf("the share of requests taken is %v while the overload ends", share)
 	}
 	now = notes(m, 100, 0, now)
-	if !m.takes(now, beyond, 0.999) {
+	if !m.accepts(now, beyond, 0.999) {
 		t.Error("requests are refused long after the overload")
 	}
 }
@@ -98,15 +98,15 @@
 	now := boottime.Now()
 	for _, share := range []float64{1, 0.8, 0.5} {
 		m.setShare(share)
-		if !m.takes(now, owed, 0.999) {
+		if !m.accepts(now, owed, 0.999) {
 			t.Errorf("what is owed is refused while a share of %v is taken", share)
 		}
 	}
-	if m.takes(now, beyond, 0.001) {
+	if m.accepts(now, beyond, 0.001) {
 		t.Error("something beyond the shares is taken while only what is owed fits")
 	}
-	m.setShare(shareLeast)
-	if m.takes(now, owed, 0.999) || !m.takes(now, owed, 0.1) {
+	m.setShare(minShare)
+	if m.accepts(now, owed, 0.999) || !m.accepts(now, owed, 0.1) {
 		t.Error("what is owed is not cut in its turn")
 	}
 }
@@ -169,12 +169,12 @@
 	}
 	defer conn.Close()
 	ctx := withCallerConn(context.Background(), &callerConn{Conn: conn})
-	if callerLeft(ctx) {
+	if callerDisconnected(ctx) {
 		t.Error("the caller is there")
 	}
 	caller.Close()
 	time.Sleep(20 * time.Millisecond)
-	if !callerLeft(ctx) {
+	if !callerDisconnected(ctx) {
 		t.Error("the caller has left")
 	}
 }
--- a/internal/gate/local.go
+++ b/internal/gate/local.go
@@ -38,7 +38,7 @@
 
 // TakeCrashFingerprints returns the fingerprints of requests that were found here, since the
 // last call, to have run at a backend server that went down.
-func (m *Manager) TakeCrashFingerprints() []uint64 { return m.handler.suspects.takeFresh() }
+func (m *Manager) TakeCrashFingerprints() []uint64 { return m.handler.suspects.takeUnreported() }
 
 // SetUsages takes the uses of another router.
 func (m *Manager) SetUsages(router fleet.Address, uses map[fleet.Account]shares.Use) {
@@ -58,7 +58,7 @@
 
 // ReceiveCrashFingerprint takes a fingerprint from another router.
 func (m *Manager) ReceiveCrashFingerprint(router fleet.Address, fingerprint uint64) {
-	m.handler.suspects.heard(router, fingerprint)
+	m.handler.suspects.crashReported(router, fingerprint)
 }
 
 // Status is what a router tells operators of itself.
@@ -86,7 +86,7 @@
 // to connect anew; what comes all the same is served. It returns the requests
 // in progress.
 func (m *Manager) SetDrained(drained bool, operator, reason string) int {
-	m.handler.drained.Store(drained)
+	m.handler.drainedByOperator.Store(drained)
 	event.GateDrained.Log(m.options.Logger, logrus.Fields{"drained": drained, "operator": operator, "reason": reason})
 	return m.running()
 }
--- a/internal/gate/manager.go
+++ b/internal/gate/manager.go
@@ -37,38 +37,38 @@
 
 // Manager runs a gate. It is a daemon.Service.
 type Manager struct {
-	options     Options
-	handler     *handler
-	entry       *entry
-	connections *connections
+	options         Options
+	handler         *handler
+	acceptor        *acceptor
+	connectionStats *connectionStats
 }
 
 // NewManager returns a gate that takes no requests yet.
 func NewManager(options Options) *Manager {
 	settings := newCurrentSettings(options.Settings)
 	admission := newAdmission(settings, options.Zone, options.Peers)
-	connections := newConnections(options.Logger, options.Registerer)
+	connections := newConnectionStats(options.Logger, options.Registerer)
 	drain := newDrainState()
 	h := &handler{
-		drain:     drain,
-		settings:  settings,
-		dialect:   options.Dialect,
-		state:     options.State,
-		started:   boottime.Now(),
-		pool:      newPool(connections),
-		admission: admission,
-		budget:    newRetryBudget(settings, options.Peers),
-		suspects:  newSuspects(),
-		breaks:    newBreakWatch(),
-		records:   newRecords(options.Logger, options.State, func() logrus.Fields { return admission.inputs(options.State.View()) }),
-		metrics:   newMetrics(options.Registerer),
-		lag:       newLagMeter(options.Logger, options.Registerer),
+		drain:         drain,
+		settings:      settings,
+		dialect:       options.Dialect,
+		state:         options.State,
+		startedAt:     boottime.Now(),
+		pool:          newPool(connections),
+		admission:     admission,
+		budget:        newRetryBudget(settings, options.Peers),
+		suspects:      newSuspects(),
+		crashDetector: newCrashDetector(),
+		requestLog:    newRequestLog(options.Logger, options.State, func() logrus.Fields { return admission.inputs(options.State.View()) }),
+		metrics:       newMetrics(options.Registerer),
+		lag:           newLagMeter(options.Logger, options.Registerer),
 	}
 	admission.paces.watch(options.Logger, options.Registerer)
 	admission.plain.waits = h.metrics.plainWait
-	entry := newEntry(h, options.Connections, h.lag, drain)
-	h.closing = entry.closing
-	return &Manager{options: options, handler: h, entry: entry, connections: connections}
+	entry := newAcceptor(h, options.Connections, h.lag, drain)
+	h.closeAfterAnswer = entry.closeAfterAnswer
+	return &Manager{options: options, handler: h, acceptor: entry, connectionStats: connections}
 }
 
 // ApplyConfig takes new settings. Addresses stay as they were at the start.
@@ -81,14 +81,14 @@
 func (m *Manager) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return m.handler.pool.Run(ctx) })
-	group.Go(func() error { return m.connections.run(ctx) })
-	group.Go(func() error { return m.handler.records.Run(ctx) })
-	group.Go(func() error { return m.follow(ctx) })
+	group.Go(func() error { return m.connectionStats.run(ctx) })
+	group.Go(func() error { return m.handler.requestLog.Run(ctx) })
+	group.Go(func() error { return m.watchState(ctx) })
 	group.Go(func() error { return m.watchReadiness(ctx) })
 	group.Go(func() error { return m.handler.lag.run(ctx) })
-	group.Go(func() error { return m.handler.judgeBreaks(ctx) })
+	group.Go(func() error { return m.handler.judgeResets(ctx) })
 	group.Go(func() error {
-		if err := m.entry.run(ctx, m.options.Callers); err != nil {
+		if err := m.acceptor.run(ctx, m.options.Callers); err != nil {
 			return err
 		}
 		<-ctx.Done()
@@ -97,8 +97,8 @@
 	return group.Wait()
 }
 
-// follow applies what becomes known until the context ends.
-func (m *Manager) follow(ctx context.Context) error {
+// watchState applies what becomes known until the context ends.
+func (m *Manager) watchState(ctx context.Context) error {
 	before := &knowledge.View{}
 	for {
 		changed := m.options.State.Changed()
@@ -115,13 +115,13 @@
 
 func (m *Manager) apply(before, view *knowledge.View) {
 	if view.Version() != before.Version() {
-		m.entry.apply(view.Index.Configuration.Limits)
+		m.acceptor.applyLimits(view.Index.Configuration.Limits)
 		event.GateVersion.Log(m.options.Logger, logrus.Fields{"version": view.Version(), "before": before.Version()})
 	}
 	m.logStore(before, view)
 	m.logEvacuations(before, view)
 	m.logBackends(before, view)
-	m.forgetDead(before, view)
+	m.closeReplaced(before, view)
 	m.handler.admission.loads.keep(view.Backends)
 	m.handler.admission.paces.keep(view.Backends)
 	m.handler.admission.plain.keep(view.Backends, boottime.Now())
@@ -131,12 +131,12 @@
 const (
 	// readinessInterval is the pause between two looks at the readiness.
 	readinessInterval = 100 * time.Millisecond
-	// isolatedRounds is how many looks in a row must find the router isolated.
+	// isolatedChecks is how many looks in a row must find the router isolated.
 	// After an outage of the store some routers reach it sooner than others.
-	isolatedRounds = 8
-	// contactShare is the part of the bound for withdrawn keys after which a
+	isolatedChecks = 8
+	// contactAgeShare is the part of the bound for withdrawn keys after which a
 	// router that the store does not answer leaves the callers to others.
-	contactShare = 0.5
+	contactAgeShare = 0.5
 )
 
 // watchReadiness tells the balancer whether to send connections here, until
@@ -152,7 +152,7 @@
 		if !m.isolated(view) {
 			isolatedFor = 0
 		}
-		isolated := isolatedFor >= isolatedRounds
+		isolated := isolatedFor >= isolatedChecks
 		m.handler.isolated.Store(isolated)
 		if now := m.notReady(view, isolated); now != reason {
 			reason = now
@@ -176,7 +176,7 @@
 	if !m.options.Peers.Follows() {
 		return false // it does not call the store
 	}
-	most := time.Duration(float64(m.handler.settings.get().Revoke) * contactShare)
+	most := time.Duration(float64(m.handler.settings.get().Revoke) * contactAgeShare)
 	others := m.options.Peers.Contact()
 	return others != 0 && others.Sub(view.StoreContact) > most
 }
@@ -194,7 +194,7 @@
 	switch {
 	case !view.Ready():
 		return reasonUnknown
-	case m.handler.drained.Load():
+	case m.handler.drainedByOperator.Load():
 		return reasonDrained
 	case isolated:
 		return reasonIsolated
@@ -213,9 +213,9 @@
 	event.GateReady.Log(m.options.Logger, logrus.Fields{"ready": reason == "", "reason": reason})
 }
 
-// forgetDead closes the connections to backend servers that have started again
+// closeReplaced closes the connections to backend servers that have started again
 // under their ids.
-func (m *Manager) forgetDead(before, view *knowledge.View) {
+func (m *Manager) closeReplaced(before, view *knowledge.View) {
 	for id, backend := range view.Backends {
 		known := before.Backends[id]
 		if known == nil || known.Incarnation == backend.Incarnation {
@@ -280,33 +280,33 @@
 }
 
 const (
-	// notice is how long connections are still taken after the signal to stop.
+	// drainNotice is how long connections are still taken after the signal to stop.
 	// The balancer asks for readiness once a second and goes by two answers.
-	notice = 2500 * time.Millisecond
-	// endMargin is the time kept for ending before the process is killed.
-	endMargin = 400 * time.Millisecond
+	drainNotice = 2500 * time.Millisecond
+	// shutdownMargin is the time kept for ending before the process is killed.
+	shutdownMargin = 400 * time.Millisecond
 )
 
 // Drain implements daemon.Service: it tells the balancer, takes connections
 // until the balancer has heard, and lets the requests in progress end.
 func (m *Manager) Drain(ctx context.Context) error {
-	left := m.options.Grace - endMargin
+	left := m.options.Grace - shutdownMargin
 	ctx, cancel := context.WithTimeout(ctx, left)
 	defer cancel()
 	now := boottime.Now()
-	m.handler.drain.begin(now, now.Add(left))
+	m.handler.drain.start(now, now.Add(left))
 	m.options.Readiness.SetDraining()
 	event.GateReady.Log(m.options.Logger, logrus.Fields{"ready": false})
 	select {
 	case <-ctx.Done():
-	case <-time.After(min(notice, m.options.Grace/2)):
+	case <-time.After(min(drainNotice, m.options.Grace/2)):
 	}
-	m.entry.stopAccepting()
-	count := m.entry.finish(ctx)
+	m.acceptor.stopAccepting()
+	count := m.acceptor.finish(ctx)
 	if count == 0 {
 		return nil
 	}
 	m.handler.metrics.endedDraining(count)
-	m.handler.records.endedDraining(count)
+	m.handler.requestLog.endedDraining(count)
 	return errors.Errorf("%d requests in progress were ended", count)
 }
--- a/internal/gate/metrics.go
+++ b/internal/gate/metrics.go
@@ -74,11 +74,11 @@
 
 // The outcomes of requests while the process drains.
 const (
-	drainTaken = "taken"
-	drainEnded = "ended"
+	drainAccepted = "taken"
+	drainEnded    = "ended"
 )
 
-func (m *metrics) takenDraining() { m.drained.WithLabelValues(drainTaken).Inc() }
+func (m *metrics) acceptedDraining() { m.drained.WithLabelValues(drainAccepted).Inc() }
 
 func (m *metrics) endedDraining(count int) { m.drained.WithLabelValues(drainEnded).Add(float64(count)) }
 
@@ -120,7 +120,7 @@
 	m.plain.WithLabelValues(string(service)).Set(wait.Seconds())
 }
 
-func (m *metrics) judged(verdict breakVerdict, count int) {
+func (m *metrics) resetsJudged(verdict resetVerdict, count int) {
 	m.resets.WithLabelValues(string(verdict)).Add(float64(count))
 }
 
--- a/internal/gate/paces_test.go
+++ b/internal/gate/paces_test.go
@@ -251,22 +251,22 @@
 	logger, hook := logrustest.NewNullLogger()
 	registry := prometheus.NewRegistry()
 	f.paces.watch(logger, registry)
-	h := &handler{admission: f.admission, records: newRecords(logger, knowledge.NewState(), nil)}
+	h := &handler{admission: f.admission, requestLog: newRequestLog(logger, knowledge.NewState(), nil)}
 	report := pace.Report{Slots: 48, WorkTime: 0.5}
-	h.heed(f.fast, Reply{Load: report, Replaced: true})
+	h.observeReply(f.fast, Reply{Load: report, Replaced: true})
 	if f.paces.told("s") {
 		t.Error("a report of another server was taken")
 	}
 	f.due()
-	h.heed(f.fast, Reply{BadLoad: true})
-	h.heed(f.fast, Reply{Load: report})
-	h.heed(f.fast, Reply{Load: pace.Report{Slots: 48}})
+	h.observeReply(f.fast, Reply{BadLoad: true})
+	h.observeReply(f.fast, Reply{Load: report})
+	h.observeReply(f.fast, Reply{Load: pace.Report{Slots: 48}})
 	f.due()
 	f.peers.paces = map[uint32]pace.Observation{f.fast.IncarnationHash: {Usual: 0.5, ReadTokens: 50_000, ReadSeconds: 10}}
 	for range 10 {
 		f.loads.read("s", 20_000, time.Second)
 	}
-	h.heed(f.fast, Reply{Load: report})
+	h.observeReply(f.fast, Reply{Load: report})
 	families, err := registry.Gather()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gate/plain.go
+++ b/internal/gate/plain.go
@@ -146,7 +146,7 @@
 // failedCountMost bounds how long a failed request counts at its server. breakWatch takes
 // requests reported in breakRecent for a sign of life, so those that a crash has ended must
 // not be reported then.
-const failedCountMost = breakSilence - breakRecent
+const failedCountMost = silenceTimeout - reportWindow
 
 // leavePlain counts a request out at its plain server. One that ran and failed sooner
 // than its answer was due counts until then, here and at the other routers.
--- a/internal/gate/plain_test.go
+++ b/internal/gate/plain_test.go
@@ -150,9 +150,9 @@
 	}
 	askPlain(m)
 	var told []uint64
-	for ends := time.Now().Add(breakDoubt + time.Second); len(told) == 0 && time.Now().Before(ends); {
+	for ends := time.Now().Add(reportedSilenceTimeout + time.Second); len(told) == 0 && time.Now().Before(ends); {
 		time.Sleep(judgeInterval)
-		m.handler.judge(boottime.Now())
+		m.handler.judgeDue(boottime.Now())
 		told = m.TakeCrashFingerprints()
 	}
 	if len(told) != 1 {
@@ -185,12 +185,12 @@
 			t.Fatal(refusal)
 		}
 		for _, incarnation := range []string{"a@1", "b@1"} {
-			m.handler.breaks.broke(incarnation, request.Fingerprint, request.Received, boottime.Now())
+			m.handler.crashDetector.addReset(incarnation, request.Fingerprint, request.Received, boottime.Now())
 		}
-		time.AfterFunc(holdMost/2, func() {
+		time.AfterFunc(maxHold/2, func() {
 			configure(m.handler.state.View().Version()+1, test.after)
-			m.handler.breaks.alive("a@1", boottime.Now(), boottime.Now())
-			m.handler.breaks.alive("b@1", boottime.Now(), boottime.Now())
+			m.handler.crashDetector.dataReceived("a@1", boottime.Now(), boottime.Now())
+			m.handler.crashDetector.dataReceived("b@1", boottime.Now(), boottime.Now())
 		})
 		recorder := httptest.NewRecorder()
 		m.handler.serve(t.Context(), recorder, request)
--- a/internal/gate/records.go
+++ b/internal/gate/records.go
@@ -25,38 +25,38 @@
 	// went well, which are a sample.
 	answersPerSecond = 2
 	answersBurst     = 10
-	// leftOutInterval is the pause between two records of what was left out.
-	leftOutInterval = 5 * time.Second
+	// droppedInterval is the pause between two records of what was left out.
+	droppedInterval = 5 * time.Second
 	// tallyInterval is the pause between two records of counts.
 	tallyInterval = time.Second
 )
 
-// records writes what was decided on requests, within bounds.
-type records struct {
-	logger   logrus.FieldLogger
-	state    *knowledge.State
-	failures *rate.Limiter
-	answers  *rate.Limiter
-	leftOut  atomic.Int64
-	tally    *tally
+// requestLog writes what was decided on requests, within bounds.
+type requestLog struct {
+	logger       logrus.FieldLogger
+	state        *knowledge.State
+	failureLimit *rate.Limiter
+	answerLimit  *rate.Limiter
+	dropped      atomic.Int64
+	tally        *tally
 	// inputs returns what the decisions of the moment rest on.
 	inputs func() logrus.Fields
 }
 
-func newRecords(logger logrus.FieldLogger, state *knowledge.State, inputs func() logrus.Fields) *records {
-	return &records{
-		tally:    newTally(),
-		inputs:   inputs,
-		logger:   logger,
-		state:    state,
-		failures: rate.NewLimiter(failuresPerSecond, failuresBurst),
-		answers:  rate.NewLimiter(answersPerSecond, answersBurst),
+func newRequestLog(logger logrus.FieldLogger, state *knowledge.State, inputs func() logrus.Fields) *requestLog {
+	return &requestLog{
+		tally:        newTally(),
+		inputs:       inputs,
+		logger:       logger,
+		state:        state,
+		failureLimit: rate.NewLimiter(failuresPerSecond, failuresBurst),
+		answerLimit:  rate.NewLimiter(answersPerSecond, answersBurst),
 	}
 }
 
 // Run writes from time to time how many records were left out.
-func (r *records) Run(ctx context.Context) error {
-	ticker := time.NewTicker(leftOutInterval)
+func (r *requestLog) Run(ctx context.Context) error {
+	ticker := time.NewTicker(droppedInterval)
 	defer ticker.Stop()
 	tallies := time.NewTicker(tallyInterval)
 	defer tallies.Stop()
@@ -67,7 +67,7 @@
 		case <-tallies.C:
 			r.tally.write(r.logger, r.inputs())
 		case <-ticker.C:
-			if count := r.leftOut.Swap(0); count > 0 {
+			if count := r.dropped.Swap(0); count > 0 {
 				event.GateLeftOut.Log(r.logger, logrus.Fields{"count": count})
 			}
 		}
@@ -75,23 +75,23 @@
 }
 
 // allows tells whether a record is written, and counts it when it is left out.
-func (r *records) allows(limiter *rate.Limiter) bool {
+func (r *requestLog) allows(limiter *rate.Limiter) bool {
 	if limiter.Allow() {
 		return true
 	}
-	r.leftOut.Add(1)
+	r.dropped.Add(1)
 	return false
 }
 
 // write writes a record that the limiter allows.
-func (r *records) write(limiter *rate.Limiter, which event.Event, request *Request, fields logrus.Fields) {
+func (r *requestLog) write(limiter *rate.Limiter, which event.Event, request *Request, fields logrus.Fields) {
 	if r.allows(limiter) {
-		r.put(which, request, fields)
+		r.writeFields(which, request, fields)
 	}
 }
 
-// put writes a record.
-func (r *records) put(which event.Event, request *Request, fields logrus.Fields) {
+// writeFields writes a record.
+func (r *requestLog) writeFields(which event.Event, request *Request, fields logrus.Fields) {
 	if request != nil {
 		fields["request"] = request.ID
 		fields["service"] = request.Service
@@ -109,9 +109,9 @@
 	which.Log(r.logger, fields)
 }
 
-func (r *records) refused(request *Request, refusal Refusal) {
+func (r *requestLog) refused(request *Request, refusal Refusal) {
 	r.tally.refused(request, refusal.Reason)
-	if !r.allows(r.failures) {
+	if !r.allows(r.failureLimit) {
 		return // a flood of refusals builds no records that are then left out
 	}
 	fields := logrus.Fields{
@@ -120,7 +120,7 @@
 		"retry_after_ms": refusal.RetryAfter.Milliseconds(),
 	}
 	addInputs(fields, refusal.Inputs)
-	r.put(event.GateRefused, request, fields)
+	r.writeFields(event.GateRefused, request, fields)
 }
 
 // addInputs adds what decided on the place of a request.
@@ -150,60 +150,60 @@
 	}
 }
 
-func (r *records) declined(request *Request, backend *knowledge.Backend, status int, replaced bool) {
-	r.write(r.failures, event.GateDeclined, request, logrus.Fields{
+func (r *requestLog) declined(request *Request, backend *knowledge.Backend, status int, replaced bool) {
+	r.write(r.failureLimit, event.GateDeclined, request, logrus.Fields{
 		"backend":  backend.ID,
 		"status":   status,
 		"replaced": replaced,
 	})
 }
 
-// leaves writes that a backend server has said for the first time that it leaves.
-func (r *records) leaves(backend *knowledge.Backend) {
+// backendDraining writes that a backend server has said for the first time that it leaves.
+func (r *requestLog) backendDraining(backend *knowledge.Backend) {
 	event.GateLeaves.Log(r.logger, logrus.Fields{"backend": backend.ID})
 }
 
-// closes writes that a backend server that was open wants nothing for the time.
-func (r *records) closes(backend *knowledge.Backend, lasts time.Duration) {
+// backendRejecting writes that a backend server that was open wants nothing for the time.
+func (r *requestLog) backendRejecting(backend *knowledge.Backend, lasts time.Duration) {
 	event.GateCloses.Log(r.logger, logrus.Fields{"backend": backend.ID, "for_ms": lasts.Milliseconds()})
 }
 
-func (r *records) sendFailed(request *Request, backend *knowledge.Backend, err error) {
-	r.write(r.failures, event.GateSendFailed, request, logrus.Fields{"backend": backend.ID, "error": err.Error()})
+func (r *requestLog) sendFailed(request *Request, backend *knowledge.Backend, err error) {
+	r.write(r.failureLimit, event.GateSendFailed, request, logrus.Fields{"backend": backend.ID, "error": err.Error()})
 }
 
-// judged writes what broken connections at a backend server were found to mean.
-func (r *records) judged(judged judgedBreaks) {
-	r.write(r.failures, event.GateBreaksJudged, nil, logrus.Fields{
+// resetsJudged writes what broken connections at a backend server were found to mean.
+func (r *requestLog) resetsJudged(judged judgedResets) {
+	r.write(r.failureLimit, event.GateBreaksJudged, nil, logrus.Fields{
 		"incarnation": judged.incarnation,
 		"verdict":     judged.verdict,
-		"count":       len(judged.prints),
+		"count":       len(judged.fingerprints),
 	})
 }
 
-func (r *records) badAnswer(request *Request, backend *knowledge.Backend, status int) {
-	r.write(r.failures, event.GateBadAnswer, request, logrus.Fields{"backend": backend.ID, "status": status})
+func (r *requestLog) badAnswer(request *Request, backend *knowledge.Backend, status int) {
+	r.write(r.failureLimit, event.GateBadAnswer, request, logrus.Fields{"backend": backend.ID, "status": status})
 }
 
-func (r *records) failed(request *Request, backend *knowledge.Backend, status int) {
-	r.write(r.failures, event.GateFailed, request, logrus.Fields{"backend": backend.ID, "status": status})
+func (r *requestLog) failed(request *Request, backend *knowledge.Backend, status int) {
+	r.write(r.failureLimit, event.GateFailed, request, logrus.Fields{"backend": backend.ID, "status": status})
 }
 
-// brokeOff writes that a stream ends early, by the backend server or the end of draining.
-func (r *records) brokeOff(request *Request, sends int, drained bool) {
+// streamAborted writes that a stream ends early, by the backend server or the end of draining.
+func (r *requestLog) streamAborted(request *Request, sends int, drained bool) {
 	r.tally.answered(request, false, false)
-	r.write(r.failures, event.GateBrokeOff, request, logrus.Fields{"sends": sends, "drained": drained})
+	r.write(r.failureLimit, event.GateBrokeOff, request, logrus.Fields{"sends": sends, "drained": drained})
 }
 
-func (r *records) callerGone(request *Request) {
+func (r *requestLog) callerDisconnected(request *Request) {
 	r.tally.ended(request, func(route *RouteTally) { route.Left++ })
-	r.write(r.answers, event.GateCallerGone, request, logrus.Fields{})
+	r.write(r.answerLimit, event.GateCallerGone, request, logrus.Fields{})
 }
 
-// takenDraining writes that a request is taken so long after the signal to stop, on a
+// acceptedDraining writes that a request is taken so long after the signal to stop, on a
 // connection that is nil if unknown.
-func (r *records) takenDraining(request *Request, since time.Duration, conn *callerConn) {
-	if !r.allows(r.failures) {
+func (r *requestLog) acceptedDraining(request *Request, since time.Duration, conn *callerConn) {
+	if !r.allows(r.failureLimit) {
 		return
 	}
 	now := boottime.Now()
@@ -212,19 +212,19 @@
 		fields["connection_age_ms"] = now.Sub(conn.opened).Milliseconds()
 		fields["connection_requests"] = conn.requests.Load()
 	}
-	r.put(event.GateDrainTaken, request, fields)
+	r.writeFields(event.GateDrainTaken, request, fields)
 }
 
 // endedDraining writes that so many requests were ended as they were in progress at the end.
-func (r *records) endedDraining(count int) {
+func (r *requestLog) endedDraining(count int) {
 	event.GateDrainEnded.Log(r.logger, logrus.Fields{"count": count})
 }
 
-func (r *records) answered(request *Request, placed *placement, status, sends int, late bool, err error) {
+func (r *requestLog) answered(request *Request, placed *placement, status, sends int, late bool, err error) {
 	r.tally.answered(request, status < http.StatusMultipleChoices && err == nil, late)
-	limiter := r.answers
+	limiter := r.answerLimit
 	if status >= http.StatusInternalServerError || sends > 1 {
-		limiter = r.failures
+		limiter = r.failureLimit
 	}
 	if !r.allows(limiter) {
 		return
@@ -235,5 +235,5 @@
 	if err != nil {
 		fields["error"] = err.Error()
 	}
-	r.put(event.GateAnswered, request, fields)
+	r.writeFields(event.GateAnswered, request, fields)
 }
--- a/internal/gate/records_test.go
+++ b/internal/gate/records_test.go
@@ -15,7 +15,7 @@
 // Cause: the record named neither what decided nor the backend server.
 func TestRecordsTellWhatDecided(t *testing.T) {
 	logger, hook := test.NewNullLogger()
-	records := newRecords(logger, knowledge.NewState(), func() logrus.Fields { return logrus.Fields{} })
+	records := newRequestLog(logger, knowledge.NewState(), func() logrus.Fields { return logrus.Fields{} })
 	inputs := Inputs{Backend: "i-1", Standing: 1.234, Ahead: 900 * time.Millisecond, Budget: 600 * time.Millisecond}
 	records.refused(&Request{ID: "a"}, Refusal{Status: 503, Reason: ReasonBusy, Inputs: inputs})
 	records.failed(&Request{ID: "b"}, &knowledge.Backend{ID: "i-2"}, 500)
--- a/internal/gate/relay_stream.go
+++ b/internal/gate/relay_stream.go
@@ -17,15 +17,15 @@
 
 // streamState is what the caller has of a stream.
 type streamState struct {
-	started   bool
-	lastEvent string // id of the last event handed out, "" for none
+	started     bool
+	lastEventID string // id of the last event handed out, "" for none
 }
 
 const (
-	// streamBuffer is how much of a stream is read at once.
-	streamBuffer = 8 << 10
-	// eventMost bounds one event of a stream.
-	eventMost = 1 << 20
+	// streamBufferBytes is how much of a stream is read at once.
+	streamBufferBytes = 8 << 10
+	// maxEventBytes bounds one event of a stream.
+	maxEventBytes = 1 << 20
 )
 
 // errEventTooLong ends a stream whose event would not fit into memory.
@@ -33,37 +33,37 @@
 
 // relayStream hands on a stream event by event. Only whole events are handed
 // on: one that breaks off can then be made again by another backend server.
-func (r *run) relayStream(ctx context.Context, placed *placement, answer *backendconn.Answer, reply Reply, sent boottime.Instant) verdict {
+func (r *relay) relayStream(ctx context.Context, placed *placement, answer *backendconn.Answer, reply Reply, sent boottime.Instant) sendOutcome {
 	h := r.handler
 	if !reply.sound(r.request) {
-		h.records.badAnswer(r.request, placed.backend, answer.Status)
+		h.requestLog.badAnswer(r.request, placed.backend, answer.Status)
 		h.admission.loads.answered(placed.backend.Incarnation, false, 0)
-		return verdictBroken
+		return outcomeBroken
 	}
-	buffer := make([]byte, streamBuffer)
+	buffer := make([]byte, streamBufferBytes)
 	var partial []byte
 	pace := newStreamPace(r.request)
 	for {
 		n, err := answer.Read(buffer)
 		if n > 0 {
 			now := boottime.Now()
-			h.heard(placed.backend, sent, now)
+			h.dataReceived(placed.backend, sent, now)
 			if pace.note(now) {
 				h.admission.began(r.request, placed, now.Sub(sent))
 				h.metrics.firstEvent(now.Sub(r.request.Received))
 			}
 			partial = append(partial, buffer[:n]...)
-			if !r.handOut(answer, &partial) {
-				return r.callerGone()
+			if !r.forwardEvents(answer, &partial) {
+				return r.callerDisconnected()
 			}
 		}
 		if err == io.EOF {
 			if !h.lag.busy(boottime.Now()) {
 				h.admission.delivered(r.request.Service, placed, pace.late)
 			}
-			return r.endStream(placed, answer, partial, pace.late)
+			return r.finishStream(placed, answer, partial, pace.late)
 		}
-		if err == nil && len(partial) > eventMost {
+		if err == nil && len(partial) > maxEventBytes {
 			err = errEventTooLong
 		}
 		if err != nil {
@@ -72,16 +72,16 @@
 	}
 }
 
-// handOut writes the whole events of the partial data and keeps the rest. It
+// forwardEvents writes the whole events of the partial data and keeps the rest. It
 // returns false when the caller can't be reached.
-func (r *run) handOut(answer *backendconn.Answer, partial *[]byte) bool {
-	end := lastEventEnd(*partial)
+func (r *relay) forwardEvents(answer *backendconn.Answer, partial *[]byte) bool {
+	end := completeEventsLen(*partial)
 	if end == 0 {
 		return true
 	}
 	events := (*partial)[:end]
 	if id := lastEventID(events); id != "" {
-		r.stream.lastEvent = id
+		r.stream.lastEventID = id
 	}
 	r.startStream(answer)
 	if _, err := r.writer.Write(events); err != nil {
@@ -96,7 +96,7 @@
 
 // startStream writes the head of the answer, once: a stream that goes on at
 // another backend server keeps its first head.
-func (r *run) startStream(answer *backendconn.Answer) {
+func (r *relay) startStream(answer *backendconn.Answer) {
 	if r.stream.started {
 		return
 	}
@@ -105,33 +105,33 @@
 	r.handler.writeHead(r.writer, answer.Status)
 }
 
-// endStream ends a stream that its backend server has ended whole.
-func (r *run) endStream(placed *placement, answer *backendconn.Answer, rest []byte, late bool) verdict {
+// finishStream ends a stream that its backend server has ended whole.
+func (r *relay) finishStream(placed *placement, answer *backendconn.Answer, rest []byte, late bool) sendOutcome {
 	r.startStream(answer)
 	if len(rest) > 0 {
 		// Bytes after the last event belong to the body as well.
 		if _, err := r.writer.Write(rest); err != nil {
-			return r.callerGone()
+			return r.callerDisconnected()
 		}
 	}
 	r.handler.admission.loads.answered(placed.backend.Incarnation, true, 0)
-	r.handler.records.answered(r.request, placed, answer.Status, r.sends, late, nil)
+	r.handler.requestLog.answered(r.request, placed, answer.Status, r.sends, late, nil)
 	r.handler.metrics.answered(answer.Status)
-	return verdictDone
+	return outcomeDone
 }
 
-// callerGone ends a request whose caller has left. The connection ends with it: the server
+// callerDisconnected ends a request whose caller has left. The connection ends with it: the server
 // would make a success of a request that returns without an answer.
-func (r *run) callerGone() verdict {
-	r.handler.records.callerGone(r.request)
+func (r *relay) callerDisconnected() sendOutcome {
+	r.handler.requestLog.callerDisconnected(r.request)
 	panic(http.ErrAbortHandler)
 }
 
 // eventSeparator ends an event.
 var eventSeparator = []byte("\n\n")
 
-// lastEventEnd returns the length of the whole events at the start of data.
-func lastEventEnd(data []byte) int {
+// completeEventsLen returns the length of the whole events at the start of data.
+func completeEventsLen(data []byte) int {
 	at := bytes.LastIndex(data, eventSeparator)
 	if at < 0 {
 		return 0
--- a/internal/gate/relay_whole.go
+++ b/internal/gate/relay_whole.go
@@ -13,29 +13,29 @@
 	"github.com/bluebellchute/bluebellchute/internal/fleet"
 )
 
-// wholeMost is the size of an answer up to which it is read to its end before
+// maxBufferedAnswer is the size of an answer up to which it is read to its end before
 // it is handed on, so that one that breaks off can be replaced.
-const wholeMost = 1 << 20
+const maxBufferedAnswer = 1 << 20
 
-// restMost is how much of an answer that nobody wants is read to keep its
+// maxDiscardedBytes is how much of an answer that nobody wants is read to keep its
 // connection.
-const restMost = 16 << 10
+const maxDiscardedBytes = 16 << 10
 
-// wholeAnswer is an answer that has been read to its end.
-type wholeAnswer struct {
+// bufferedAnswer is an answer that has been read to its end.
+type bufferedAnswer struct {
 	placed *placement
 	status int
 	header http.Header
 	body   []byte
 }
 
-// relayWhole reads an answer to its end and hands it on.
-func (r *run) relayWhole(ctx context.Context, placed *placement, answer *backendconn.Answer, reply Reply, sent boottime.Instant) verdict {
+// relayBuffered reads an answer to its end and hands it on.
+func (r *relay) relayBuffered(ctx context.Context, placed *placement, answer *backendconn.Answer, reply Reply, sent boottime.Instant) sendOutcome {
 	var body bytes.Buffer
-	if answer.Length > 0 && answer.Length <= wholeMost {
+	if answer.Length > 0 && answer.Length <= maxBufferedAnswer {
 		body.Grow(int(answer.Length) + bytes.MinRead)
 	}
-	_, err := io.Copy(&body, io.LimitReader(answer, wholeMost))
+	_, err := io.Copy(&body, io.LimitReader(answer, maxBufferedAnswer))
 	if err != nil {
 		return r.answerFailed(ctx, placed, sent, err)
 	}
@@ -48,32 +48,32 @@
 		r.handler.admission.plainAnswered(placed, sound, took)
 	}
 	if success && !sound {
-		r.handler.records.badAnswer(r.request, placed.backend, answer.Status)
-		return verdictBroken
+		r.handler.requestLog.badAnswer(r.request, placed.backend, answer.Status)
+		return outcomeBroken
 	}
-	if body.Len() == wholeMost {
-		return r.relayLong(ctx, placed, answer, reply, body.Bytes())
+	if body.Len() == maxBufferedAnswer {
+		return r.relayUnbuffered(ctx, placed, answer, reply, body.Bytes())
 	}
-	whole := &wholeAnswer{placed: placed, status: answer.Status, header: r.headerOf(answer, reply), body: body.Bytes()}
+	whole := &bufferedAnswer{placed: placed, status: answer.Status, header: r.callerHeader(answer, reply), body: body.Bytes()}
 	if answer.Status >= http.StatusInternalServerError {
 		// Another backend server may do better; if not, this is the answer.
-		r.handler.records.failed(r.request, placed.backend, answer.Status)
-		r.saved = whole
-		return verdictFailed
+		r.handler.requestLog.failed(r.request, placed.backend, answer.Status)
+		r.savedFailure = whole
+		return outcomeFailed
 	}
 	r.deliver(whole)
-	return verdictDone
+	return outcomeDone
 }
 
 // late tells whether an answer that is whole now misses its route's target.
-func (r *run) late() bool {
+func (r *relay) late() bool {
 	target := r.request.Route.TargetLatency
 	return target > 0 && boottime.Now().Sub(r.request.Received) > target
 }
 
-// headerOf returns the header for the caller. A status that promises that the
+// callerHeader returns the header for the caller. A status that promises that the
 // request did not run is changed by handedStatus, so it may not be signed.
-func (r *run) headerOf(answer *backendconn.Answer, reply Reply) http.Header {
+func (r *relay) callerHeader(answer *backendconn.Answer, reply Reply) http.Header {
 	header := fleet.EndToEnd(answer.Header)
 	if promisesNotRun(answer.Status) || !reply.Signed {
 		r.handler.dialect.Unsign(header)
@@ -92,10 +92,10 @@
 	return false
 }
 
-// handedStatus returns the status for the caller. When the status promises that
+// callerStatus returns the status for the caller. When the status promises that
 // the request did not run, but the backend server did not say that it refused
 // the request, the promise could be untrue.
-func handedStatus(status int) int {
+func callerStatus(status int) int {
 	if promisesNotRun(status) {
 		return http.StatusBadGateway
 	}
@@ -103,23 +103,23 @@
 }
 
 // deliver hands a whole answer to the caller.
-func (r *run) deliver(whole *wholeAnswer) {
-	status := handedStatus(whole.status)
+func (r *relay) deliver(whole *bufferedAnswer) {
+	status := callerStatus(whole.status)
 	header := r.writer.Header()
 	maps.Copy(header, whole.header)
 	header.Set("Content-Length", strconv.Itoa(len(whole.body)))
 	r.handler.writeHead(r.writer, status)
 	_, err := r.writer.Write(whole.body)
-	r.handler.records.answered(r.request, whole.placed, status, r.sends, r.late(), err)
+	r.handler.requestLog.answered(r.request, whole.placed, status, r.sends, r.late(), err)
 	r.handler.metrics.answered(status)
 }
 
-// relayLong hands on an answer that is too long to be held: what has been read
+// relayUnbuffered hands on an answer that is too long to be held: what has been read
 // and then the rest.
-func (r *run) relayLong(ctx context.Context, placed *placement, answer *backendconn.Answer, reply Reply, read []byte) verdict {
-	status := handedStatus(answer.Status)
+func (r *relay) relayUnbuffered(ctx context.Context, placed *placement, answer *backendconn.Answer, reply Reply, read []byte) sendOutcome {
+	status := callerStatus(answer.Status)
 	header := r.writer.Header()
-	maps.Copy(header, r.headerOf(answer, reply))
+	maps.Copy(header, r.callerHeader(answer, reply))
 	if answer.Length >= 0 {
 		header.Set("Content-Length", strconv.FormatInt(answer.Length, 10))
 	}
@@ -130,19 +130,19 @@
 		_, err = io.Copy(r.writer, answer)
 	}
 	if err != nil {
-		if callerLeft(ctx) {
-			return r.callerGone()
+		if callerDisconnected(ctx) {
+			return r.callerDisconnected()
 		}
-		r.giveUp(ctx, Refusal{})
+		r.finish(ctx, Refusal{})
 	}
-	r.handler.records.answered(r.request, placed, status, r.sends, r.late(), nil)
+	r.handler.requestLog.answered(r.request, placed, status, r.sends, r.late(), nil)
 	r.handler.metrics.answered(status)
-	return verdictDone
+	return outcomeDone
 }
 
-// readRest reads an answer that is not handed on, so that its connection can
+// discardRest reads an answer that is not handed on, so that its connection can
 // be used again.
-func (r *run) readRest(answer *backendconn.Answer) {
+func (r *relay) discardRest(answer *backendconn.Answer) {
 	// A failure only costs the connection.
-	_, _ = io.Copy(io.Discard, io.LimitReader(answer, restMost))
+	_, _ = io.Copy(io.Discard, io.LimitReader(answer, maxDiscardedBytes))
 }
--- a/internal/gate/run.go
+++ b/internal/gate/run.go
@@ -13,89 +13,89 @@
 )
 
 const (
-	// connectsMost bounds the backend servers tried for one request whose
+	// maxConnectFailures bounds the backend servers tried for one request whose
 	// connections could not even be opened.
-	connectsMost = 3
-	// leastLeft is the time below which a request is not sent any more: its
+	maxConnectFailures = 3
+	// minTimeLeft is the time below which a request is not sent any more: its
 	// answer could not be back in time.
-	leastLeft = 5 * time.Millisecond
+	minTimeLeft = 5 * time.Millisecond
 )
 
-// run is one caller's request on its way through backend servers.
-type run struct {
+// relay is one caller's request on its way through backend servers.
+type relay struct {
 	handler  *handler
 	request  *Request
 	writer   http.ResponseWriter
 	excluded map[string]bool // backend servers that failed the request
 
-	sends    int  // requests that may have arrived at a backend server
-	connects int  // connections that could not be opened
-	ran      bool // the request may have run
-	stream   streamState
-	saved    *wholeAnswer // a failure of a backend server, kept while another is tried
+	sends           int  // requests that may have arrived at a backend server
+	connectFailures int  // connections that could not be opened
+	mayHaveRun      bool // the request may have run
+	stream          streamState
+	savedFailure    *bufferedAnswer // a failure of a backend server, kept while another is tried
 }
 
-// verdict tells how a run goes on after a send.
-type verdict int
+// sendOutcome tells how a run goes on after a send.
+type sendOutcome int
 
 const (
-	verdictDone     verdict = iota // the caller has its answer, or has gone
-	verdictDeclined                // the backend server did not run it
-	verdictUnsent                  // nothing was sent
-	verdictBroken                  // it may have run, no usable answer came
-	verdictFailed                  // a failure of the backend server's own is saved
+	outcomeDone     sendOutcome = iota // the caller has its answer, or has gone
+	outcomeDeclined                    // the backend server did not run it
+	outcomeUnsent                      // nothing was sent
+	outcomeBroken                      // it may have run, no usable answer came
+	outcomeFailed                      // a failure of the backend server's own is saved
 )
 
 // loop sends the request until its caller has an answer. It ends: each turn
 // either answers, counts a send towards the route's bound, or counts a
 // connection towards its own.
-func (r *run) loop(ctx context.Context) {
+func (r *relay) loop(ctx context.Context) {
 	for {
-		if r.sends == 0 && r.connects == 0 && !r.handler.drain.takes(r.request, boottime.Now()) {
-			r.giveUp(ctx, drainRefusal())
+		if r.sends == 0 && r.connectFailures == 0 && !r.handler.drain.accepts(r.request, boottime.Now()) {
+			r.finish(ctx, drainRefusal())
 			return
 		}
 		view := r.handler.state.View()
 		placed, refusal := r.handler.admission.place(r.request, view, r.excluded)
 		if refusal != nil {
-			r.giveUp(ctx, *refusal)
+			r.finish(ctx, *refusal)
 			return
 		}
 		if r.sends > 0 && !r.handler.budget.spend(r.request.Service) {
 			r.handler.admission.ended(r.request, placed, false)
-			r.giveUp(ctx, r.failure())
+			r.finish(ctx, r.failure())
 			return
 		}
 		result := r.send(ctx, placed)
-		if result == verdictDone {
+		if result == outcomeDone {
 			return
 		}
 		r.excluded[placed.backend.ID] = true
-		if !r.mayGoOn(ctx, result) {
-			r.giveUp(ctx, r.failure())
+		if !r.mayRetry(ctx, result) {
+			r.finish(ctx, r.failure())
 			return
 		}
 	}
 }
 
-// mayGoOn tells whether the request may be sent to another backend server.
-func (r *run) mayGoOn(ctx context.Context, result verdict) bool {
+// mayRetry tells whether the request may be sent to another backend server.
+func (r *relay) mayRetry(ctx context.Context, result sendOutcome) bool {
 	switch {
-	case ctx.Err() != nil, r.request.Left(boottime.Now()) < leastLeft:
+	case ctx.Err() != nil, r.request.Left(boottime.Now()) < minTimeLeft:
 		return false
-	case r.sends >= max(r.request.Route.MaxAttempts, 1), r.connects >= connectsMost:
+	case r.sends >= max(r.request.Route.MaxAttempts, 1), r.connectFailures >= maxConnectFailures:
 		return false
 	case r.stream.started:
-		return r.request.Route.Repeat == knowledge.RepeatResume && r.stream.lastEvent != ""
-	case result == verdictBroken, result == verdictFailed:
+		return r.request.Route.Repeat == knowledge.RepeatResume && r.stream.lastEventID != ""
+	case result == outcomeBroken, result == outcomeFailed:
 		return r.request.Idempotent()
 	}
 	return true
 }
 
 // failure returns the final answer when no backend server gave one.
-func (r *run) failure() Refusal {
-	if r.ran {
+func (r *relay) failure() Refusal {
+	if r.mayHaveRun {
 		return Refusal{Status: http.StatusBadGateway, Reason: ReasonBroken}
 	}
 	return Refusal{
@@ -105,42 +105,42 @@
 	}
 }
 
-// giveUp gives the final answer at once.
-func (r *run) giveUp(ctx context.Context, refusal Refusal) {
+// finish gives the final answer at once.
+func (r *relay) finish(ctx context.Context, refusal Refusal) {
 	if r.stream.started {
 		// The head of an answer has been sent. Only a connection that ends
 		// early tells the caller that the stream is not complete.
-		r.handler.records.brokeOff(r.request, r.sends, drained(ctx))
+		r.handler.requestLog.streamAborted(r.request, r.sends, cancelledByDrain(ctx))
 		panic(http.ErrAbortHandler)
 	}
-	if r.saved != nil {
-		r.deliver(r.saved)
+	if r.savedFailure != nil {
+		r.deliver(r.savedFailure)
 		return
 	}
-	if r.ran && refusal.Status == http.StatusServiceUnavailable {
+	if r.mayHaveRun && refusal.Status == http.StatusServiceUnavailable {
 		// 503 promises that the request has not run.
 		refusal = Refusal{Status: http.StatusBadGateway, Reason: ReasonBroken}
 	}
 	switch {
-	case drained(ctx):
-		refusal = r.drainEnded()
+	case cancelledByDrain(ctx):
+		refusal = r.drainEndedRefusal()
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		refusal = r.timedOut()
+		refusal = r.timeoutRefusal()
 	case errors.Is(ctx.Err(), context.Canceled):
 		refusal.Reason = ReasonCallerGone
 	}
 	r.handler.refuse(r.writer, r.request, refusal)
 }
 
-func (r *run) drainEnded() Refusal {
-	if r.ran {
+func (r *relay) drainEndedRefusal() Refusal {
+	if r.mayHaveRun {
 		return Refusal{Status: http.StatusBadGateway, Reason: ReasonDraining}
 	}
 	return drainRefusal()
 }
 
-func (r *run) timedOut() Refusal {
-	if r.ran {
+func (r *relay) timeoutRefusal() Refusal {
+	if r.mayHaveRun {
 		return Refusal{Status: http.StatusGatewayTimeout, Reason: ReasonTimeout}
 	}
 	return Refusal{
@@ -152,55 +152,55 @@
 
 // send sends the request to the backend server of its place and hands the
 // answer on.
-func (r *run) send(ctx context.Context, placed *placement) verdict {
+func (r *relay) send(ctx context.Context, placed *placement) sendOutcome {
 	h := r.handler
-	if callerLeft(ctx) {
+	if callerDisconnected(ctx) {
 		h.admission.ended(r.request, placed, false)
-		return r.callerGone()
+		return r.callerDisconnected()
 	}
 	if ctx.Err() != nil {
 		h.admission.ended(r.request, placed, false)
-		return verdictUnsent
+		return outcomeUnsent
 	}
 	if placed.model {
 		h.metrics.placedModel(placed, h.admission.zone)
 	}
 	sent := boottime.Now()
-	answer, err := h.pool.Do(ctx, placed.backend.Address, r.outgoing(ctx, placed, sent))
+	answer, err := h.pool.Do(ctx, placed.backend.Address, r.outgoingRequest(ctx, placed, sent))
 	if err != nil {
 		return r.sendFailed(ctx, placed, sent, err)
 	}
 	defer answer.Close()
 	r.sends++
 	reply := h.dialect.Reply(answer.Status, answer.Header)
-	h.heed(placed.backend, reply)
+	h.observeReply(placed.backend, reply)
 	if !reply.Replaced {
-		h.heard(placed.backend, sent, boottime.Now())
+		h.dataReceived(placed.backend, sent, boottime.Now())
 	}
 	if reply.Refused || reply.Replaced {
-		h.records.declined(r.request, placed.backend, answer.Status, reply.Replaced)
+		h.requestLog.declined(r.request, placed.backend, answer.Status, reply.Replaced)
 		h.admission.ended(r.request, placed, false)
 		if reply.Replaced {
 			h.admission.loads.broken(placed.backend.Incarnation)
 		}
-		r.readRest(answer)
-		return verdictDeclined
+		r.discardRest(answer)
+		return outcomeDeclined
 	}
-	r.ran = true
+	r.mayHaveRun = true
 	defer h.admission.ended(r.request, placed, true)
 	if r.stream.started && answer.Status >= http.StatusMultipleChoices {
 		// A failure can't follow the first events of a stream.
-		r.readRest(answer)
-		return verdictBroken
+		r.discardRest(answer)
+		return outcomeBroken
 	}
 	if r.request.Route.Stream && answer.Status < http.StatusMultipleChoices {
 		return r.relayStream(ctx, placed, answer, reply, sent)
 	}
-	return r.relayWhole(ctx, placed, answer, reply, sent)
+	return r.relayBuffered(ctx, placed, answer, reply, sent)
 }
 
-// heed takes what the backend server says of itself with an answer.
-func (h *handler) heed(backend *knowledge.Backend, reply Reply) {
+// observeReply takes what the backend server says of itself with an answer.
+func (h *handler) observeReply(backend *knowledge.Backend, reply Reply) {
 	if reply.Replaced {
 		return // another server has answered, and it speaks of itself
 	}
@@ -208,19 +208,19 @@
 	now := boottime.Now()
 	h.admission.paces.heed(backend, reply, now)
 	if reply.Leaving && h.admission.closures.add(backend.Incarnation, forGood, now) {
-		h.records.leaves(backend)
+		h.requestLog.backendDraining(backend)
 	}
 	if reply.ClosedFor > 0 && h.admission.closures.add(backend.Incarnation, now.Add(reply.ClosedFor), now) {
-		h.records.closes(backend, reply.ClosedFor)
+		h.requestLog.backendRejecting(backend, reply.ClosedFor)
 	}
 }
 
-func (r *run) outgoing(ctx context.Context, placed *placement, now boottime.Instant) *backendconn.Request {
+func (r *relay) outgoingRequest(ctx context.Context, placed *placement, now boottime.Instant) *backendconn.Request {
 	forward := &Forward{
 		Request:   r.request,
 		Backend:   placed.backend,
 		Left:      r.request.Left(now),
-		LastEvent: r.stream.lastEvent,
+		LastEvent: r.stream.lastEventID,
 		Holder:    placed.holder,
 	}
 	if forward.LastEvent == "" {
@@ -232,28 +232,28 @@
 		Host:           r.request.Host,
 		Header:         r.handler.dialect.ForwardHeader(forward),
 		Body:           r.request.Body,
-		Mine:           r.mine,
+		Mine:           r.ownAnswer,
 		MaxConnections: r.maxConnections(placed.backend),
-		Check:          func() error { return r.check(ctx, placed.backend) },
+		Check:          func() error { return r.checkBeforeSend(ctx, placed.backend) },
 		Sending:        func() { placed.permit.Sent(boottime.Now()) },
 	}
 }
 
-// errClosed tells that the backend server has said meanwhile that it wants nothing.
-var errClosed = errors.New("the backend server takes nothing new")
+// errRejecting tells that the backend server has said meanwhile that it wants nothing.
+var errRejecting = errors.New("the backend server takes nothing new")
 
-// check returns why a request is not to be sent after all. On a busy processor, or on a
+// checkBeforeSend returns why a request is not to be sent after all. On a busy processor, or on a
 // link that loses packets, a connection takes seconds to be opened: meanwhile the caller
 // may leave, and the backend server may say that it wants nothing.
-func (r *run) check(ctx context.Context, backend *knowledge.Backend) error {
-	if callerLeft(ctx) {
+func (r *relay) checkBeforeSend(ctx context.Context, backend *knowledge.Backend) error {
+	if callerDisconnected(ctx) {
 		return backendconn.ErrAbandoned
 	}
 	if err := ctx.Err(); err != nil {
 		return err
 	}
 	if r.handler.admission.closures.has(backend.Incarnation, boottime.Now()) {
-		return errClosed
+		return errRejecting
 	}
 	return nil
 }
@@ -267,7 +267,7 @@
 // backend server: what the others leave, but at least its even share. Callers
 // come unevenly, so an even share alone would refuse them at one router while
 // the backend server has room.
-func (r *run) maxConnections(backend *knowledge.Backend) int {
+func (r *relay) maxConnections(backend *knowledge.Backend) int {
 	service := r.handler.state.View().Index.Service(r.request.Service)
 	if service == nil || service.MaxConnections == 0 {
 		return 0
@@ -279,58 +279,58 @@
 	return max(int(even), int(left), 1)
 }
 
-// mine tells whether an answer is this request's. Refusals may bear no id.
-func (r *run) mine(header http.Header) bool {
+// ownAnswer tells whether an answer is this request's. Refusals may bear no id.
+func (r *relay) ownAnswer(header http.Header) bool {
 	id := r.handler.dialect.Reply(0, header).ID
 	return id == "" || id == r.request.ID
 }
 
-func (r *run) sendFailed(ctx context.Context, placed *placement, sent boottime.Instant, err error) verdict {
+func (r *relay) sendFailed(ctx context.Context, placed *placement, sent boottime.Instant, err error) sendOutcome {
 	h := r.handler
 	unsent := backendconn.ProgressOf(err) == backendconn.ProgressNone
 	h.admission.ended(r.request, placed, !unsent)
 	if errors.Is(err, backendconn.ErrAbandoned) || callerCanceled(ctx) {
-		return r.callerGone()
+		return r.callerDisconnected()
 	}
-	r.noteFailed(ctx, placed, err)
-	h.noteRefusal(placed.backend, sent, err)
+	r.logSendFailure(ctx, placed, err)
+	h.observeConnectError(placed.backend, sent, err)
 	if unsent {
-		r.connects++
-		if ctx.Err() == nil && !errors.Is(err, backendconn.ErrTooMany) && !errors.Is(err, errClosed) {
+		r.connectFailures++
+		if ctx.Err() == nil && !errors.Is(err, backendconn.ErrTooMany) && !errors.Is(err, errRejecting) {
 			h.admission.loads.broken(placed.backend.Incarnation)
 			h.admission.cold.mayRestart(h.state.View(), placed.backend)
 		}
-		return verdictUnsent
+		return outcomeUnsent
 	}
 	r.sends++
-	r.ran = true
-	r.brokenBy(ctx, placed, sent)
-	return verdictBroken
+	r.mayHaveRun = true
+	r.recordReset(ctx, placed, sent)
+	return outcomeBroken
 }
 
 // answerFailed ends an answer that could not be read to its end.
-func (r *run) answerFailed(ctx context.Context, placed *placement, sent boottime.Instant, err error) verdict {
+func (r *relay) answerFailed(ctx context.Context, placed *placement, sent boottime.Instant, err error) sendOutcome {
 	if callerCanceled(ctx) {
-		return r.callerGone()
+		return r.callerDisconnected()
 	}
-	r.noteFailed(ctx, placed, err)
-	r.brokenBy(ctx, placed, sent)
-	return verdictBroken
+	r.logSendFailure(ctx, placed, err)
+	r.recordReset(ctx, placed, sent)
+	return outcomeBroken
 }
 
-// noteFailed writes that an exchange failed, unless this router has ended it.
-func (r *run) noteFailed(ctx context.Context, placed *placement, err error) {
-	if !drained(ctx) {
-		r.handler.records.sendFailed(r.request, placed.backend, err)
+// logSendFailure writes that an exchange failed, unless this router has ended it.
+func (r *relay) logSendFailure(ctx context.Context, placed *placement, err error) {
+	if !cancelledByDrain(ctx) {
+		r.handler.requestLog.sendFailed(r.request, placed.backend, err)
 	}
 }
 
-// brokenBy notes that the connection to a backend server broke while it had the
+// recordReset notes that the connection to a backend server broke while it had the
 // request, unless the caller or the clock ended it.
-func (r *run) brokenBy(ctx context.Context, placed *placement, sent boottime.Instant) {
+func (r *relay) recordReset(ctx context.Context, placed *placement, sent boottime.Instant) {
 	if ctx.Err() != nil {
 		return
 	}
-	r.handler.breaks.broke(placed.backend.Incarnation, r.request.Fingerprint, sent, boottime.Now())
+	r.handler.crashDetector.addReset(placed.backend.Incarnation, r.request.Fingerprint, sent, boottime.Now())
 	r.handler.admission.loads.answered(placed.backend.Incarnation, false, 0)
 }
--- a/internal/gate/suspects.go
+++ b/internal/gate/suspects.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// breaksMost is how many backend servers a request may break before it is
+	// maxCrashes is how many backend servers a request may break before it is
 	// refused. A request that was merely beside one that breaks them rarely
 	// meets a second break.
-	breaksMost = 2
-	// suspectLife is how long a break is remembered.
-	suspectLife = 60 * time.Second
-	// suspectsMost bounds the table. A crash of a backend server adds all
+	maxCrashes = 2
+	// suspectTTL is how long a break is remembered.
+	suspectTTL = 60 * time.Second
+	// maxSuspects bounds the table. A crash of a backend server adds all
 	// requests that it ran.
-	suspectsMost = 4096
+	maxSuspects = 4096
 )
 
 // fingerprint returns a value that is the same when a caller sends a request
@@ -46,24 +46,24 @@
 // again by its caller until none is left. A broken connection counts once
 // breakWatch has found that its server went down.
 type suspects struct {
-	mu    sync.Mutex
-	known map[uint64]*suspect
-	fresh []uint64 // broken here since the last call of takeFresh
+	mu         sync.Mutex
+	known      map[uint64]*suspect
+	unreported []uint64 // broken here since the last call of takeFresh
 }
 
 func newSuspects() *suspects { return &suspects{known: make(map[uint64]*suspect)} }
 
-// broke notes that a backend server went down while it ran the request.
-func (s *suspects) broke(print uint64) {
+// crashed notes that a backend server went down while it ran the request.
+func (s *suspects) crashed(print uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.add(print).own++
-	s.fresh = append(s.fresh, print)
+	s.unreported = append(s.unreported, print)
 }
 
-// heard notes that it did so at another router. Beats repeat what they tell, so
+// crashReported notes that it did so at another router. Beats repeat what they tell, so
 // each router counts once.
-func (s *suspects) heard(router fleet.Address, print uint64) {
+func (s *suspects) crashReported(router fleet.Address, print uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.add(print).others[router] = true
@@ -71,7 +71,7 @@
 
 func (s *suspects) add(print uint64) *suspect {
 	now := boottime.Now()
-	if len(s.known) >= suspectsMost {
+	if len(s.known) >= maxSuspects {
 		s.prune(now)
 	}
 	known := s.known[print]
@@ -86,34 +86,34 @@
 // prune forgets what is old, and everything when that is not enough.
 func (s *suspects) prune(now boottime.Instant) {
 	for print, known := range s.known {
-		if now.Sub(known.last) > suspectLife {
+		if now.Sub(known.last) > suspectTTL {
 			delete(s.known, print)
 		}
 	}
-	if len(s.known) >= suspectsMost {
+	if len(s.known) >= maxSuspects {
 		clear(s.known)
 	}
 }
 
 // refused tells whether the request has broken too many backend servers.
-func (s *suspects) refused(print uint64) bool { return s.count(print) >= breaksMost }
+func (s *suspects) refused(print uint64) bool { return s.count(print) >= maxCrashes }
 
 // count returns how many backend servers the request has broken.
 func (s *suspects) count(print uint64) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	known := s.known[print]
-	if known == nil || boottime.Now().Sub(known.last) > suspectLife {
+	if known == nil || boottime.Now().Sub(known.last) > suspectTTL {
 		return 0
 	}
 	return known.own + len(known.others)
 }
 
-// takeFresh returns what broke here since the last call.
-func (s *suspects) takeFresh() []uint64 {
+// takeUnreported returns what broke here since the last call.
+func (s *suspects) takeUnreported() []uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	fresh := s.fresh
-	s.fresh = nil
+	fresh := s.unreported
+	s.unreported = nil
 	return fresh
 }
