--- a/internal/emulator/prediction_test.go
+++ b/internal/emulator/prediction_test.go
@@ -90,7 +90,7 @@
 	f := &modelFleet{policy: p, random: rand.New(rand.NewPCG(seed, 1))}
 	for i := range modelEngines {
 		f.engines = append(f.engines, emulator.NewEngine(emulator.DefaultConfig()))
-		f.hashes = append(f.hashes, selection.Key(fmt.Sprint("i-", i)))
+		f.hashes = append(f.hashes, selection.Hash(fmt.Sprint("i-", i)))
 		f.loads = append(f.loads, selection.Engine{Slots: 64, MemoryCapacity: 580_000})
 	}
 	f.stepping = make([]bool, modelEngines)
@@ -132,21 +132,21 @@
 	size := float64(k.first + k.second + own)
 	f.asked += size
 	demand := selection.Demand{
-		Shared: float64(k.first + k.second),
-		Own:    float64(own),
-		Output: float64(k.output),
-		Budget: time.Duration(float64(k.target) * f.policy.budget),
+		SharedTokens: float64(k.first + k.second),
+		OwnTokens:    float64(own),
+		OutputTokens: float64(k.output),
+		Budget:       time.Duration(float64(k.target) * f.policy.budget),
 	}
 	limits := selection.Limits{Rate: modelRate, SlotShare: 0.8, MemoryShare: 0.9, SecondPenalty: f.policy.penalty}
-	key := selection.Key(parts[0].ID + parts[1].ID)
+	key := selection.Hash(parts[0].ID + parts[1].ID)
 	ranked := selection.Rank(f.hashes, func(hash uint64) uint64 { return hash }, key, modelHomes)
 	candidate := func(place int) selection.Engine { return f.loads[ranked[place]] }
-	choice := selection.Model(len(ranked), candidate, demand, limits)
+	choice := selection.ChooseEngine(len(ranked), candidate, demand, limits)
 	if !choice.Fits {
 		return
 	}
 	f.sent += size
-	f.send(ranked[choice.Place], choice.Tokens, parts, k, size, now)
+	f.send(ranked[choice.Place], choice.PromptTokens, parts, k, size, now)
 }
 
 func (f *modelFleet) send(index int, tokens float64, parts []emulator.Part, k *kind, size float64, now time.Duration) {
--- a/internal/gate/admission.go
+++ b/internal/gate/admission.go
@@ -154,17 +154,17 @@
 	for i, backend := range usable {
 		load, latency := a.loads.get(backend.Incarnation)
 		servers[i] = selection.Server{
-			Running: load.Running + a.peers.Load(backend.IncarnationHash).Running,
-			Slots:   backend.Slots,
-			Near:    backend.Zone == a.zone,
-			Latency: latency,
+			Running:  load.Running + a.peers.Load(backend.IncarnationHash).Running,
+			Slots:    backend.Slots,
+			SameZone: backend.Zone == a.zone,
+			Latency:  latency,
 		}
 	}
 	a.mu.Lock()
 	a.turn++
 	turn := a.turn
 	a.mu.Unlock()
-	placed := &placement{backend: usable[selection.Plain(servers, turn)], load: BackendLoad{Running: 1}}
+	placed := &placement{backend: usable[selection.ChooseServer(servers, turn)], load: BackendLoad{Running: 1}}
 	a.loads.begin(placed.backend.Incarnation, placed.load)
 	return placed
 }
--- a/internal/gate/holder_test.go
+++ b/internal/gate/holder_test.go
@@ -29,9 +29,9 @@
 func newPartFleet() *partFleet {
 	request := &Request{Service: "s", Prompt: Prompt{Tokens: 3000, Parts: []PromptPart{{"shared", 2000}, {"own", 1000}}}}
 	ids := []string{"i-1", "i-2", "i-3", "i-4", "i-5"}
-	key := selection.Key(request.Prompt.SharedPart())
+	key := selection.Hash(request.Prompt.SharedPart())
 	slices.SortFunc(ids, func(a, b string) int {
-		if selection.Weight(key, selection.Key(a)) > selection.Weight(key, selection.Key(b)) {
+		if selection.Weight(key, selection.Hash(a)) > selection.Weight(key, selection.Hash(b)) {
 			return -1
 		}
 		return 1
--- a/internal/gate/keptparts_test.go
+++ b/internal/gate/keptparts_test.go
@@ -17,7 +17,7 @@
 func TestPartsAreFetchedFromWhereTheyWereRead(t *testing.T) {
 	a, view, request := benchAdmission(6, 1, 4, BackendLoad{})
 	usable := view.Serving["s"]
-	ranked := selection.Rank(usable, idHash, selection.Key(request.Prompt.SharedPart()), 2)
+	ranked := selection.Rank(usable, idHash, selection.Hash(request.Prompt.SharedPart()), 2)
 	first, second := usable[ranked[0]], usable[ranked[1]]
 	request.Prompt.Parts[0].ID = partAtHome(usable, first)
 	full := BackendLoad{Running: first.Slots}
@@ -43,7 +43,7 @@
 func partAtHome(usable []*knowledge.Backend, home *knowledge.Backend) string {
 	for i := 0; ; i++ {
 		id := fmt.Sprint("part", i)
-		if usable[selection.Rank(usable, idHash, selection.Key(id), 1)[0]] == home {
+		if usable[selection.Rank(usable, idHash, selection.Hash(id), 1)[0]] == home {
 			return id
 		}
 	}
--- a/internal/gate/near.go
+++ b/internal/gate/near.go
@@ -32,11 +32,11 @@
 // chosen from all zones. It is, whatever the wait, where that one would refuse the request
 // or disrupt streams.
 func preferNear(near, elsewhere selection.Choice, target time.Duration) bool {
-	if !near.Good() || !elsewhere.Good() {
-		return near.Good()
+	if !near.FitsUndisrupted() || !elsewhere.FitsUndisrupted() {
+		return near.FitsUndisrupted()
 	}
 	tolerated := time.Duration(float64(target) * nearReading)
-	return near.Wait <= elsewhere.Wait+tolerated && near.Occupied <= elsewhere.Occupied+nearSlots
+	return near.Wait <= elsewhere.Wait+tolerated && near.SlotsUsed <= elsewhere.SlotsUsed+nearSlots
 }
 
 // near returns the usable engines of this router's zone where the request is to be
@@ -46,7 +46,7 @@
 	if !a.settings.get().Engines.OwnZoneFirst {
 		return nil
 	}
-	reading := selection.ReadingTime(search.demand.Shared, search.limits.Rate)
+	reading := selection.ReadingTime(search.demand.SharedTokens, search.limits.Rate)
 	cheap := float64(reading) <= float64(search.request.Route.TargetLatency)*nearReading
 	if !cheap && !hot {
 		return nil
--- a/internal/gate/near_test.go
+++ b/internal/gate/near_test.go
@@ -104,16 +104,16 @@
 // Guards against a request that is refused although an engine of its own zone takes it:
 // those that its part prefers in all zones are full, and have less to read.
 func TestOwnZoneTakesWhatNoOtherEngineTakes(t *testing.T) {
-	near := selection.Choice{Fits: true, Wait: 200 * time.Millisecond, Occupied: 0.5}
+	near := selection.Choice{Fits: true, Wait: 200 * time.Millisecond, SlotsUsed: 0.5}
 	for name, elsewhere := range map[string]selection.Choice{
-		"full":       {Wait: 100 * time.Millisecond, Occupied: 1},
-		"disruptive": {Fits: true, Disrupts: true, Wait: 100 * time.Millisecond, Occupied: 0.3},
+		"full":       {Wait: 100 * time.Millisecond, SlotsUsed: 1},
+		"disruptive": {Fits: true, Disrupts: true, Wait: 100 * time.Millisecond, SlotsUsed: 0.3},
 	} {
 		if !preferNear(near, elsewhere, time.Second) {
 			t.Errorf("the engine of the own zone is left out where the other one is %s", name)
 		}
 	}
-	if preferNear(near, selection.Choice{Fits: true, Wait: 100 * time.Millisecond, Occupied: 0.5}, time.Second) {
+	if preferNear(near, selection.Choice{Fits: true, Wait: 100 * time.Millisecond, SlotsUsed: 0.5}, time.Second) {
 		t.Error("an engine of the own zone is taken that makes the request wait")
 	}
 }
--- a/internal/gate/place_model.go
+++ b/internal/gate/place_model.go
@@ -47,10 +47,10 @@
 		backend: backend,
 		load: BackendLoad{
 			Running: 1,
-			Pending: choice.Tokens,
-			Memory:  search.demand.Own + search.demand.Shared + search.demand.Output,
+			Pending: choice.PromptTokens,
+			Memory:  search.demand.OwnTokens + search.demand.SharedTokens + search.demand.OutputTokens,
 		},
-		pending: choice.Before + choice.Tokens,
+		pending: choice.PendingTokens + choice.PromptTokens,
 		model:   true,
 		tier:    tier,
 		inputs:  inputs,
@@ -81,7 +81,7 @@
 	}
 	search.protection = a.policy().Protection(tier, view.Index.MinTargetGap(request.Service))
 	search.limits.Gap = search.protection.Gap
-	reading := selection.ReadingTime(search.demand.Own, search.limits.Rate)
+	reading := selection.ReadingTime(search.demand.OwnTokens, search.limits.Rate)
 	search.ranking = ranking{
 		weighted: true,
 		snapshot: a.paces.snapshot(),
@@ -99,11 +99,11 @@
 	// While some engines get no requests, the list is built for each one.
 	drawn := !sameList(usable, search.serving())
 	backend, choice := a.chooseAmong(search, usable, drawn, search.protection.MaxEngines(search.bounds))
-	if backend.Zone == a.zone && choice.Good() {
+	if backend.Zone == a.zone && choice.FitsUndisrupted() {
 		return backend, choice
 	}
 	if near := a.near(search, usable, drawn, hot); len(near) > 0 {
-		if closer, found := a.chooseAmong(search, near, drawn, selection.Homes); preferNear(found, choice, search.request.Route.TargetLatency) {
+		if closer, found := a.chooseAmong(search, near, drawn, selection.PreferredEngines); preferNear(found, choice, search.request.Route.TargetLatency) {
 			return closer, found
 		}
 	}
@@ -120,7 +120,7 @@
 		ranked = search.ranking.rank(usable, search.part, most)
 	}
 	engine := a.engines(search, usable, ranked)
-	choice := selection.Model(len(ranked), engine, search.demand, search.limits)
+	choice := selection.ChooseEngine(len(ranked), engine, search.demand, search.limits)
 	return usable[ranked[choice.Place]], choice
 }
 
@@ -218,11 +218,11 @@
 		output = min(output, prompt.ExpectedOutput)
 	}
 	return selection.Demand{
-		Shared: shared,
-		Own:    max(float64(prompt.Tokens)-shared, 0),
-		Output: float64(output),
-		Budget: bounds.Budget,
-		Whole:  bounds.CountOwnPrompt,
+		SharedTokens:   shared,
+		OwnTokens:      max(float64(prompt.Tokens)-shared, 0),
+		OutputTokens:   float64(output),
+		Budget:         bounds.Budget,
+		CountOwnPrompt: bounds.CountOwnPrompt,
 	}
 }
 
@@ -243,7 +243,7 @@
 			Pending:        load.Pending,
 			Memory:         load.Memory,
 			MemoryCapacity: capacity,
-			Keeps:          backend == search.keeper,
+			CachesShared:   backend == search.keeper,
 		}
 		if search.ranking.weighted {
 			estimate := search.ranking.snapshot.Engine(backend.IncarnationHash)
--- a/internal/gate/ranking.go
+++ b/internal/gate/ranking.go
@@ -25,9 +25,9 @@
 // first one first: so many, or fewer when the list is shorter.
 func (r ranking) rank(list []*knowledge.Backend, part string, most int) []int {
 	if !r.weighted {
-		return selection.Rank(list, idHash, selection.Key(part), most)
+		return selection.Rank(list, idHash, selection.Hash(part), most)
 	}
-	return selection.RankWeighted(list, idHash, r.cache.weights(list, r), selection.Key(part), most)
+	return selection.RankWeighted(list, idHash, r.cache.weights(list, r), selection.Hash(part), most)
 }
 
 // rankDrawn is like rank for a list that was drawn from a kept one, in its order.
@@ -39,7 +39,7 @@
 	if !ok {
 		weights = r.weigh(list)
 	}
-	return selection.RankWeighted(list, idHash, weights, selection.Key(part), most)
+	return selection.RankWeighted(list, idHash, weights, selection.Hash(part), most)
 }
 
 // drawWeights returns the weights of the engines of a list that was drawn from a kept
--- a/internal/lab/callers.go
+++ b/internal/lab/callers.go
@@ -40,7 +40,7 @@
 		came:    r.now,
 		own:     own,
 		cost:    float64(kind.Shared) + own + 2*float64(kind.Output),
-		key:     selection.Key(name),
+		key:     selection.Hash(name),
 		parts: []emulator.Part{
 			{ID: name, Tokens: kind.Shared},
 			{ID: fmt.Sprint("own", r.random.Uint64()), Tokens: int(own)},
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -170,8 +170,8 @@
 	}
 	bounds := r.settings.Bounds(tier, facts)
 	ranked := selection.Rank(r.hashes, func(hash uint64) uint64 { return hash }, c.key, bounds.MaxEngines)
-	demand := selection.Demand{Shared: float64(c.kind.Shared), Own: c.own, Output: float64(c.kind.Output), Budget: bounds.Budget, Whole: bounds.CountOwnPrompt}
-	choice := selection.Model(len(ranked), r.candidates(router, ranked), demand, selection.Limits{
+	demand := selection.Demand{SharedTokens: float64(c.kind.Shared), OwnTokens: c.own, OutputTokens: float64(c.kind.Output), Budget: bounds.Budget, CountOwnPrompt: bounds.CountOwnPrompt}
+	choice := selection.ChooseEngine(len(ranked), r.candidates(router, ranked), demand, selection.Limits{
 		Rate:          router.rate.Estimate(r.deployment.Stated / float64(r.deployment.Engines)),
 		SlotShare:     bounds.SlotShare,
 		MemoryShare:   bounds.MemoryShare,
@@ -186,7 +186,7 @@
 	} else {
 		router.ledger.Got(c.account, c.cost, r.now)
 	}
-	r.send(c, router, ranked[choice.Place], load{running: 1, pending: choice.Tokens, memory: float64(c.kind.Shared) + c.own + float64(c.kind.Output)})
+	r.send(c, router, ranked[choice.Place], load{running: 1, pending: choice.PromptTokens, memory: float64(c.kind.Shared) + c.own + float64(c.kind.Output)})
 }
 
 func (r *fleetRun) standing(router *router, c *caller) policy.AccountUsage {
--- a/internal/policy/bounds.go
+++ b/internal/policy/bounds.go
@@ -42,9 +42,9 @@
 		part *= s.SurplusShare
 	}
 	part *= 1 - shortPreference*facts.Usage.Shortage*min(facts.Usage.ShareUsed, 1)
-	engines := selection.Homes
+	engines := selection.PreferredEngines
 	if tier == TierOwed {
-		engines = max(s.OwedEngines, selection.Homes)
+		engines = max(s.OwedEngines, selection.PreferredEngines)
 	}
 	return Bounds{Budget: share(facts.Target, part), SlotShare: s.SlotShare, MemoryShare: s.MemoryShare, MaxEngines: engines}
 }
@@ -70,7 +70,7 @@
 		SlotShare:      between(s.IdleSlots, s.IdleWideSlots, part),
 		MemoryShare:    between(s.IdleMemory, s.IdleWideSlots, part),
 
-		MaxEngines: selection.Homes,
+		MaxEngines: selection.PreferredEngines,
 	}
 }
 
--- a/internal/policy/plain_replay_test.go
+++ b/internal/policy/plain_replay_test.go
@@ -129,12 +129,12 @@
 		expected := r.loads[router][server].Estimate(PlainCounts{own, others, replaySlots, replayRouters}, draw, instant(now))
 		near, times := router%replayServers == server, &r.times[router][server]
 		servers[server] = PlainServer{expected, replaySlots, near, times.At(instant(now), 0), 1}
-		plain[server] = selection.Server{Running: own + others, Slots: replaySlots, Near: near, Latency: r.latency[router][server]}
+		plain[server] = selection.Server{Running: own + others, Slots: replaySlots, SameZone: near, Latency: r.latency[router][server]}
 	}
 	request := PlainRequest{Target: replayTarget, Remaining: 3 * time.Second, Idempotent: caller.read, Jitter: draw, Offset: offset}
 	choice := settings.ChoosePlain(request, servers)
 	if !r.admission {
-		choice = PlainChoice{Server: selection.Plain(plain, offset), Fits: true}
+		choice = PlainChoice{Server: selection.ChooseServer(plain, offset), Fits: true}
 	}
 	if !choice.Fits {
 		again := now + int(choice.RetryAfter.Milliseconds())
--- a/internal/policy/protect.go
+++ b/internal/policy/protect.go
@@ -53,7 +53,7 @@
 	if p.Gap == 0 {
 		return bounds.MaxEngines
 	}
-	return max(bounds.MaxEngines, selection.Homes+furtherEngines)
+	return max(bounds.MaxEngines, selection.PreferredEngines+furtherEngines)
 }
 
 // Allows tells whether a chosen engine may take the request.
--- a/internal/policy/protect_test.go
+++ b/internal/policy/protect_test.go
@@ -90,14 +90,14 @@
 		weights[i], hashes[i] = EngineWeight(speed, exponent), uint64(i+1)*0x9e3779b97f4a7c15
 	}
 	same := func(hash uint64) uint64 { return hash }
-	ranked := selection.RankWeighted(hashes, same, weights, key*0xbf58476d1ce4e5b9, protection.MaxEngines(Bounds{MaxEngines: selection.Homes}))
+	ranked := selection.RankWeighted(hashes, same, weights, key*0xbf58476d1ce4e5b9, protection.MaxEngines(Bounds{MaxEngines: selection.PreferredEngines}))
 	engine := func(place int) selection.Engine {
 		i := ranked[place]
 		return selection.Engine{Running: 10, Pending: pending[i], Rate: rate * speeds[i]}
 	}
-	demand := selection.Demand{Own: tokens, Budget: 500 * time.Millisecond}
-	limits := selection.Limits{Gap: protection.Gap, Fallbacks: selection.Homes, SecondPenalty: 1}
-	choice := selection.Model(len(ranked), engine, demand, limits)
+	demand := selection.Demand{OwnTokens: tokens, Budget: 500 * time.Millisecond}
+	limits := selection.Limits{Gap: protection.Gap, Fallbacks: selection.PreferredEngines, SecondPenalty: 1}
+	choice := selection.ChooseEngine(len(ranked), engine, demand, limits)
 	if choice.Fits && protection.Allows(choice) {
 		pending[ranked[choice.Place]] += tokens
 	}
--- a/internal/selection/model.go
+++ b/internal/selection/model.go
@@ -10,8 +10,8 @@
 	Memory  float64 // tokens that its requests hold or will hold
 	// MemoryCapacity is how many tokens it holds, 0 if unknown.
 	MemoryCapacity float64
-	// Keeps tells that it is known to keep the shared parts.
-	Keeps bool
+	// CachesShared tells that it is known to keep the shared parts.
+	CachesShared bool
 	// Rate is how many prompt tokens it reads in a second beside the tokens that it
 	// generates, 0 for Limits.Rate.
 	Rate float64
@@ -22,11 +22,11 @@
 
 // Demand is what one request asks of an engine.
 type Demand struct {
-	Shared float64       // tokens of the parts that other requests share
-	Own    float64       // tokens of the parts that it does not share
-	Output float64       // tokens that it is expected to generate
-	Budget time.Duration // for the prompts ahead of this one
-	Whole  bool          // whether its own prompt counts in the budget
+	SharedTokens   float64       // tokens of the parts that other requests share
+	OwnTokens      float64       // tokens of the parts that it does not share
+	OutputTokens   float64       // tokens that it is expected to generate
+	Budget         time.Duration // for the prompts ahead of this one
+	CountOwnPrompt bool          // whether its own prompt counts in the budget
 }
 
 // Limits bound what is sent to an engine.
@@ -57,14 +57,14 @@
 
 // Choice is an engine chosen for a request.
 type Choice struct {
-	Place  int           // of the engine among the candidates
-	Tokens float64       // prompt tokens that the engine is expected to read
-	Before float64       // prompt tokens that wait there already
-	Ahead  time.Duration // expected until the prompts ahead are read
-	Wait   time.Duration // expected until the first event
-	Fits   bool          // within all limits
-	// Occupied is the part of the engine's slots that are taken, 0 if unknown.
-	Occupied float64
+	Place         int           // of the engine among the candidates
+	PromptTokens  float64       // prompt tokens that the engine is expected to read
+	PendingTokens float64       // prompt tokens that wait there already
+	Ahead         time.Duration // expected until the prompts ahead are read
+	Wait          time.Duration // expected until the first event
+	Fits          bool          // within all limits
+	// SlotsUsed is the part of the engine's slots that are taken, 0 if unknown.
+	SlotsUsed float64
 	// Prefill is the expected time to read the prompts ahead and this one at the
 	// engine's speed of the moment.
 	Prefill time.Duration
@@ -74,11 +74,11 @@
 	Moved bool
 }
 
-// Homes is how many engines of a key's order share its prompt parts. More would
+// PreferredEngines is how many engines of a key's order share its prompt parts. More would
 // each read them anew.
-const Homes = 2
+const PreferredEngines = 2
 
-// Model chooses an engine for the demand among so many candidates in the order
+// ChooseEngine chooses an engine for the demand among so many candidates in the order
 // of its key; engine returns one by its place. It is the one that the key
 // prefers, or the next one when the first is so much busier that reading the
 // shared parts there again is quicker. There must be a candidate.
@@ -88,18 +88,18 @@
 // taken: all routers fall back on the same engines for a key, so its parts are read
 // at few of them. Where there is none, the first of the fallbacks is taken that it
 // fits at.
-func Model(candidates int, engine func(place int) Engine, demand Demand, limits Limits) Choice {
+func ChooseEngine(candidates int, engine func(place int) Engine, demand Demand, limits Limits) Choice {
 	var best Choice
-	for place := range min(candidates, Homes) {
+	for place := range min(candidates, PreferredEngines) {
 		choice := evaluate(engine(place), demand, limits, place)
 		if place == 0 || better(choice, best) {
 			best = choice
 		}
 	}
 	disruptsHome := best.Fits && best.Disrupts
-	for place := Homes; place < candidates && !best.Good(); place++ {
+	for place := PreferredEngines; place < candidates && !best.FitsUndisrupted(); place++ {
 		choice := evaluate(engine(place), demand, limits, place)
-		if choice.Good() || (choice.Fits && !best.Fits && place < limits.Fallbacks) {
+		if choice.FitsUndisrupted() || (choice.Fits && !best.Fits && place < limits.Fallbacks) {
 			best = choice
 		}
 	}
@@ -107,8 +107,8 @@
 	return best
 }
 
-// Good tells whether there is no reason to look at further engines.
-func (c Choice) Good() bool { return c.Fits && !c.Disrupts }
+// FitsUndisrupted tells whether there is no reason to look at further engines.
+func (c Choice) FitsUndisrupted() bool { return c.Fits && !c.Disrupts }
 
 // better prefers an engine within its limits, then one without streams to disrupt,
 // then the shorter wait.
@@ -125,23 +125,23 @@
 // evaluate tells what the demand finds at the engine that has the place in the
 // order of its key.
 func evaluate(engine Engine, demand Demand, limits Limits, place int) Choice {
-	tokens := demand.Own
-	if place > 0 && !engine.Keeps {
-		tokens += demand.Shared * limits.SecondPenalty
+	tokens := demand.OwnTokens
+	if place > 0 && !engine.CachesShared {
+		tokens += demand.SharedTokens * limits.SecondPenalty
 	}
 	rate := engine.rate(limits)
 	ahead := ReadingTime(engine.Pending, rate)
 	own := ReadingTime(tokens, rate)
-	choice := Choice{Place: place, Tokens: tokens, Before: engine.Pending, Ahead: ahead, Wait: ahead + own}
+	choice := Choice{Place: place, PromptTokens: tokens, PendingTokens: engine.Pending, Ahead: ahead, Wait: ahead + own}
 	if engine.Slots > 0 {
-		choice.Occupied = float64(engine.Running) / float64(engine.Slots)
+		choice.SlotsUsed = float64(engine.Running) / float64(engine.Slots)
 	}
 	choice.Prefill = time.Duration(float64(choice.Wait) * max(engine.Slowdown, 1))
 	choice.Disrupts = disrupts(engine, choice.Prefill, limits)
 	// Elsewhere the request's own length does not count: with it, long prompts
 	// would be refused whenever anything else waits.
 	counted := ahead
-	if demand.Whole {
+	if demand.CountOwnPrompt {
 		counted += own
 	}
 	choice.Fits = counted <= demand.Budget &&
@@ -184,6 +184,6 @@
 	if engine.MemoryCapacity == 0 {
 		return true
 	}
-	needed := demand.Own + demand.Shared + demand.Output
+	needed := demand.OwnTokens + demand.SharedTokens + demand.OutputTokens
 	return engine.Memory+needed <= engine.MemoryCapacity*limits.MemoryShare
 }
--- a/internal/selection/plain.go
+++ b/internal/selection/plain.go
@@ -2,20 +2,20 @@
 
 // Server is a plain backend server as a candidate for one request.
 type Server struct {
-	Running int     // requests at it, of all routers
-	Slots   int     // requests that it works on at once, 0 if unknown
-	Near    bool    // in the router's availability zone
-	Latency float64 // recent time of an answer in seconds, 0 if unknown
+	Running  int     // requests at it, of all routers
+	Slots    int     // requests that it works on at once, 0 if unknown
+	SameZone bool    // in the router's availability zone
+	Latency  float64 // recent time of an answer in seconds, 0 if unknown
 }
 
 // farPenalty is what another availability zone counts, in parts of a slot.
 // It only decides between servers that are equally busy.
 const farPenalty = 0.2
 
-// Plain returns the index of the server with the shortest expected wait, or -1
+// ChooseServer returns the index of the server with the shortest expected wait, or -1
 // for an empty list. offset rotates the list, so that routers that know the
 // same don't all choose the first of equal servers.
-func Plain(servers []Server, offset int) int {
+func ChooseServer(servers []Server, offset int) int {
 	best := -1
 	var bestCost float64
 	for i := range servers {
@@ -33,7 +33,7 @@
 
 func plainCost(server Server) float64 {
 	occupied := float64(server.Running)
-	if !server.Near {
+	if !server.SameZone {
 		occupied += farPenalty
 	}
 	slots := max(float64(server.Slots), 1)
--- a/internal/selection/protect_test.go
+++ b/internal/selection/protect_test.go
@@ -11,7 +11,7 @@
 func protecting() Limits {
 	protected := limits
 	protected.Gap = 200 * time.Millisecond
-	protected.Fallbacks = Homes
+	protected.Fallbacks = PreferredEngines
 	return protected
 }
 
@@ -23,7 +23,7 @@
 		list[i].Running, list[i].Rate = 10, 25_000
 	}
 	list[3].Rate = 60_000
-	demand := Demand{Own: 7_000, Budget: time.Second}
+	demand := Demand{OwnTokens: 7_000, Budget: time.Second}
 	if choice := model(list, demand, protecting()); choice.Place != 3 || choice.Disrupts {
 		t.Errorf("%+v, want the engine that reads it in 117 ms", choice)
 	}
@@ -37,7 +37,7 @@
 func TestNoStreamIsDisruptedWhereNoneRuns(t *testing.T) {
 	list := engines(3)
 	list[0].Running, list[1].Running = 1, 1
-	if choice := model(list, Demand{Own: 1e6, Budget: time.Second}, protecting()); choice.Place != 2 || choice.Disrupts {
+	if choice := model(list, Demand{OwnTokens: 1e6, Budget: time.Second}, protecting()); choice.Place != 2 || choice.Disrupts {
 		t.Errorf("%+v, want the idle engine", choice)
 	}
 }
@@ -54,7 +54,7 @@
 			list[i].Rate = rapid.Float64Range(0, 100_000).Draw(t, "rate")
 			list[i].Slowdown = rapid.Float64Range(0, 4).Draw(t, "slowdown")
 		}
-		demand := Demand{Own: rapid.Float64Range(1, 40_000).Draw(t, "own"), Budget: 500 * time.Millisecond}
+		demand := Demand{OwnTokens: rapid.Float64Range(1, 40_000).Draw(t, "own"), Budget: 500 * time.Millisecond}
 		with := protecting()
 		with.Fallbacks = len(list)
 		without := with
@@ -64,7 +64,7 @@
 			t.Fatalf("fits without the protection: %v, with it: %v", before.Fits, after.Fits)
 		}
 		for place := range list {
-			if !after.Good() && evaluate(list[place], demand, with, place).Good() {
+			if !after.FitsUndisrupted() && evaluate(list[place], demand, with, place).FitsUndisrupted() {
 				t.Fatalf("%+v although place %d takes it without a disruption", after, place)
 			}
 		}
--- a/internal/selection/rendezvous.go
+++ b/internal/selection/rendezvous.go
@@ -14,8 +14,8 @@
 // wins or had won move.
 func Weight(key, backend uint64) uint64 { return mix(key ^ backend) }
 
-// Key returns the hash of a key, or of a backend server's id, for Weight.
-func Key(text string) uint64 { return xxhash.Sum64String(text) }
+// Hash returns the hash of a key, or of a backend server's id, for Weight.
+func Hash(text string) uint64 { return xxhash.Sum64String(text) }
 
 // Rank returns the positions in the list of the engines that the key prefers
 // most, the first one first: so many, or fewer when the list is shorter. hash
--- a/internal/selection/selection_test.go
+++ b/internal/selection/selection_test.go
@@ -24,14 +24,14 @@
 func hashes(n int) []uint64 {
 	list := make([]uint64, n)
 	for i := range list {
-		list[i] = Key(fmt.Sprintf("i-%d", i))
+		list[i] = Hash(fmt.Sprintf("i-%d", i))
 	}
 	return list
 }
 
 // model chooses among all engines of the list, in its order.
 func model(list []Engine, demand Demand, limits Limits) Choice {
-	return Model(len(list), func(place int) Engine { return list[place] }, demand, limits)
+	return ChooseEngine(len(list), func(place int) Engine { return list[place] }, demand, limits)
 }
 
 func same(hash uint64) uint64 { return hash }
@@ -44,7 +44,7 @@
 	for i := range list {
 		list[i].Running, list[i].Pending = 5, 5_000
 	}
-	demand := Demand{Own: 50_000, Budget: 400 * time.Millisecond}
+	demand := Demand{OwnTokens: 50_000, Budget: 400 * time.Millisecond}
 	if choice := model(list, demand, limits); !choice.Fits {
 		t.Errorf("it is refused: %+v", choice)
 	}
@@ -55,7 +55,7 @@
 	for i := range list {
 		list[i].Running, list[i].Pending = 5, 30_000
 	}
-	if choice := model(list, Demand{Own: 100, Budget: 400 * time.Millisecond}, limits); choice.Fits {
+	if choice := model(list, Demand{OwnTokens: 100, Budget: 400 * time.Millisecond}, limits); choice.Fits {
 		t.Error("0.6 s of prompts are ahead, 0.4 s are allowed")
 	}
 }
@@ -69,7 +69,7 @@
 		for i := range list {
 			change(&list[i])
 		}
-		if choice := model(list, Demand{Own: 2_000, Budget: time.Second}, limits); choice.Fits {
+		if choice := model(list, Demand{OwnTokens: 2_000, Budget: time.Second}, limits); choice.Fits {
 			t.Errorf("%s: a full engine takes a request", name)
 		}
 	}
@@ -80,9 +80,9 @@
 func TestIdleEngineTakesAnything(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		demand := Demand{
-			Shared: rapid.Float64Range(0, 1e6).Draw(t, "shared"),
-			Own:    rapid.Float64Range(0, 1e6).Draw(t, "own"),
-			Output: rapid.Float64Range(0, 1e6).Draw(t, "output"),
+			SharedTokens: rapid.Float64Range(0, 1e6).Draw(t, "shared"),
+			OwnTokens:    rapid.Float64Range(0, 1e6).Draw(t, "own"),
+			OutputTokens: rapid.Float64Range(0, 1e6).Draw(t, "output"),
 		}
 		list := engines(rapid.IntRange(1, 8).Draw(t, "engines"))
 		if choice := model(list, demand, limits); !choice.Fits {
@@ -118,7 +118,7 @@
 
 func TestAffinityYieldsToWork(t *testing.T) {
 	list := engines(2)
-	demand := Demand{Shared: 5_000, Own: 1_000, Budget: time.Second}
+	demand := Demand{SharedTokens: 5_000, OwnTokens: 1_000, Budget: time.Second}
 	if choice := model(list, demand, limits); choice.Place != 0 {
 		t.Fatalf("place %d among idle engines", choice.Place)
 	}
@@ -133,19 +133,19 @@
 }
 
 func TestPlainPrefersTheLeastOccupied(t *testing.T) {
-	servers := []Server{{Running: 3, Slots: 6, Near: true}, {Running: 1, Slots: 6}, {Running: 2, Slots: 6, Near: true}}
-	if got := Plain(servers, 0); got != 1 {
+	servers := []Server{{Running: 3, Slots: 6, SameZone: true}, {Running: 1, Slots: 6}, {Running: 2, Slots: 6, SameZone: true}}
+	if got := ChooseServer(servers, 0); got != 1 {
 		t.Errorf("server %d", got)
 	}
-	if got := Plain(nil, 0); got != -1 {
+	if got := ChooseServer(nil, 0); got != -1 {
 		t.Errorf("server %d of none", got)
 	}
 }
 
 func TestPlainPrefersItsZoneAmongEquals(t *testing.T) {
-	servers := []Server{{Slots: 6}, {Slots: 6, Near: true}, {Slots: 6}}
+	servers := []Server{{Slots: 6}, {Slots: 6, SameZone: true}, {Slots: 6}}
 	for offset := range 3 {
-		if got := Plain(servers, offset); got != 1 {
+		if got := ChooseServer(servers, offset); got != 1 {
 			t.Errorf("offset %d: server %d", offset, got)
 		}
 	}
@@ -163,7 +163,7 @@
 		list[i].Running = 9
 	}
 	list[4].Running = 2
-	demand := Demand{Shared: 400, Own: 500, Budget: time.Second}
+	demand := Demand{SharedTokens: 400, OwnTokens: 500, Budget: time.Second}
 	if choice := model(list, demand, limits); !choice.Fits || choice.Place != 4 {
 		t.Errorf("%+v, want the fifth engine", choice)
 	}
@@ -179,8 +179,8 @@
 	list[0].Running, list[0].Pending = 5, 20_000
 	list[1].Running, list[1].Pending = 5, 10_000
 	looked := 0
-	choice := Model(len(list), func(place int) Engine { looked++; return list[place] }, Demand{Own: 500, Budget: time.Second}, limits)
-	if choice.Place != 1 || looked != Homes {
+	choice := ChooseEngine(len(list), func(place int) Engine { looked++; return list[place] }, Demand{OwnTokens: 500, Budget: time.Second}, limits)
+	if choice.Place != 1 || looked != PreferredEngines {
 		t.Errorf("%+v after %d looks", choice, looked)
 	}
 }
--- a/internal/slowstart/limiter_test.go
+++ b/internal/slowstart/limiter_test.go
@@ -158,7 +158,7 @@
 // it. It knows all that there are, as the directory tells, and settles later.
 func (s *simulation) join(hidden func(other int) bool) {
 	s.names++
-	fleet := &fakeFleet{self: selection.Key(fmt.Sprint(s.names)), known: make(map[uint64]bool)}
+	fleet := &fakeFleet{self: selection.Hash(fmt.Sprint(s.names)), known: make(map[uint64]bool)}
 	for place, other := range s.routers {
 		fleet.known[other.fleet.self] = true
 		if !hidden(place) {
