--- a/cmd/internal/gatewiring/gate.go
+++ b/cmd/internal/gatewiring/gate.go
@@ -61,7 +61,7 @@
 		VM:          config.Node.Name,
 		Callers:     config.Listen.Callers,
 		Zone:        config.Node.Zone,
-		Connections: config.VM.Connections(),
+		Connections: config.VM.MaxConnections(),
 		Grace:       config.Bounds.Grace,
 		Dialect:     platform.Dialect{},
 		State:       do.MustInvoke[*knowledge.State](injector),
@@ -114,7 +114,7 @@
 	follower := platform.NewFollower(
 		store,
 		do.MustInvoke[*knowledge.State](injector),
-		platform.Bounds{Apply: config.Bounds.Soonest(), Revoke: config.Bounds.Revoke, Evacuate: config.Bounds.Evacuate},
+		platform.Bounds{Apply: config.Bounds.ShortestBound(), Revoke: config.Bounds.Revoke, Evacuate: config.Bounds.Evacuate},
 		do.MustInvoke[*peering.Manager](injector),
 		do.MustInvoke[logrus.FieldLogger](injector),
 	)
--- a/internal/gate/admission.go
+++ b/internal/gate/admission.go
@@ -175,7 +175,7 @@
 	if !placed.model || placed.load.Pending == 0 {
 		return
 	}
-	a.kept.note(request.Prompt.SharedPart(), placed.backend)
+	a.kept.note(request.Prompt.SharedSegment(), placed.backend)
 	a.loads.first(placed.backend.Incarnation, placed.load.Pending)
 	if placed.permit == nil { // a cold engine does not tell what engines can do
 		a.loads.read(request.Service, placed.pending, a.paces.read(placed.backend, placed.pending, took))
--- a/internal/gate/breaks.go
+++ b/internal/gate/breaks.go
@@ -142,7 +142,7 @@
 	}
 	refusal := &Refusal{
 		Status:     http.StatusServiceUnavailable,
-		Reason:     ReasonLate,
+		Reason:     ReasonTooLate,
 		RetryAfter: h.admission.retryAfter(request),
 	}
 	if errors.Is(ctx.Err(), context.Canceled) {
--- a/internal/gate/budget.go
+++ b/internal/gate/budget.go
@@ -9,7 +9,7 @@
 )
 
 // BudgetSettings bound the second sends of all routers together.
-type BudgetSettings struct {
+type RetryBudgetSettings struct {
 	Ratio  float64       // second sends per request
 	Extra  float64       // second sends beyond that in one window
 	Window time.Duration // sliding
--- a/internal/gate/config.go
+++ b/internal/gate/config.go
@@ -140,11 +140,11 @@
 	bytesPerMB = 1 << 20
 )
 
-// Soonest returns the shortest bound for a change to be in force.
-func (s BoundsSection) Soonest() time.Duration { return min(s.Apply, s.Leave) }
+// ShortestBound returns the shortest bound for a change to be in force.
+func (s BoundsSection) ShortestBound() time.Duration { return min(s.Apply, s.Leave) }
 
-// Connections returns the most callers' connections at once.
-func (s VMSection) Connections() int {
+// MaxConnections returns the most callers' connections at once.
+func (s VMSection) MaxConnections() int {
 	byDescriptors := float64(s.Descriptors-keptDescriptors) * descriptorShare
 	byMemory := float64(s.MemoryMB*bytesPerMB) * connectionMemoryShare / connectionMemory
 	return max(int(min(byDescriptors, byMemory)), 16)
@@ -159,11 +159,11 @@
 	admission.GapShare = c.Engines.ProtectStreams
 	return Settings{
 		Freshness: Freshness{
-			Keyed: time.Duration(float64(c.Bounds.Revoke) * keyedShare),
-			Final: time.Duration(float64(c.Bounds.Apply) * finalShare),
+			KeyMaxAge:    time.Duration(float64(c.Bounds.Revoke) * keyedShare),
+			DenialMaxAge: time.Duration(float64(c.Bounds.Apply) * finalShare),
 		},
 		Revoke: c.Bounds.Revoke,
-		Budget: BudgetSettings{
+		Budget: RetryBudgetSettings{
 			Ratio:  c.Bounds.RetryRatio,
 			Extra:  c.Bounds.RetryExtra,
 			Window: c.Bounds.RetryWindow,
--- a/internal/gate/decisions_test.go
+++ b/internal/gate/decisions_test.go
@@ -16,8 +16,8 @@
 
 func (routers) Load(uint32) BackendLoad                            { return BackendLoad{} }
 func (routers) Paces(boottime.Instant) map[uint32]pace.Observation { return nil }
-func (routers) Contact() boottime.Instant                          { return boottime.Now() }
-func (routers) Follows() bool                                      { return true }
+func (routers) StoreContact() boottime.Instant                     { return boottime.Now() }
+func (routers) WatchesStore() bool                                 { return true }
 func (r routers) Routers() int                                     { return int(r) }
 func (r routers) Order(uint64) (int, int)                          { return 0, int(r) }
 func (routers) Settled() bool                                      { return true }
@@ -41,7 +41,7 @@
 // Events: the store does not reach the router; the configuration changes.
 // Cause: the router went by what it knew, however old.
 func TestOldKnowledgeDeniesNothingAndTakesNoKey(t *testing.T) {
-	fresh := Freshness{Keyed: 4 * time.Second, Final: 1800 * time.Millisecond}
+	fresh := Freshness{KeyMaxAge: 4 * time.Second, DenialMaxAge: 1800 * time.Millisecond}
 	for _, test := range []struct {
 		age       time.Duration
 		path, key string
@@ -81,7 +81,7 @@
 // Events: all backend servers of a service fail.
 // Cause: each router used the whole fleet's budget.
 func TestBudgetIsSharedByTheRouters(t *testing.T) {
-	settings := newCurrentSettings(Settings{Budget: BudgetSettings{Ratio: 0.2, Extra: 50, Window: 10 * time.Second}})
+	settings := newCurrentSettings(Settings{Budget: RetryBudgetSettings{Ratio: 0.2, Extra: 50, Window: 10 * time.Second}})
 	const fleetSize = 5
 	total := 0
 	for range fleetSize {
@@ -185,8 +185,8 @@
 }
 
 func TestPromptParts(t *testing.T) {
-	prompt := Prompt{Tokens: 1460, MaxOutput: 80, ExpectedOutput: 50, Parts: []PromptPart{{"a", 800}, {"b", 410}, {"c", 250}}}
-	if got := prompt.SharedPart(); got != "b" {
+	prompt := Prompt{Tokens: 1460, MaxOutput: 80, ExpectedOutput: 50, Segments: []PromptSegment{{"a", 800}, {"b", 410}, {"c", 250}}}
+	if got := prompt.SharedSegment(); got != "b" {
 		t.Errorf("shared part %q", got)
 	}
 	if got := prompt.SharedTokens(); got != 1210 {
@@ -195,10 +195,10 @@
 	if got := prompt.Cost(); got != 1560 {
 		t.Errorf("cost %v", got)
 	}
-	if got := (Prompt{Tokens: 5, Parts: []PromptPart{{"a", 5}}}).SharedPart(); got != "a" {
+	if got := (Prompt{Tokens: 5, Segments: []PromptSegment{{"a", 5}}}).SharedSegment(); got != "a" {
 		t.Errorf("shared part %q of one", got)
 	}
-	if (Prompt{}).SharedPart() != "" || (Prompt{}).SharedTokens() != 0 {
+	if (Prompt{}).SharedSegment() != "" || (Prompt{}).SharedTokens() != 0 {
 		t.Error("an empty prompt has shared parts")
 	}
 }
--- a/internal/gate/dialect.go
+++ b/internal/gate/dialect.go
@@ -18,21 +18,21 @@
 	ForwardHeader(forward *Forward) http.Header
 	// Reply reads the header of an answer.
 	Reply(status int, header http.Header) Reply
-	// Unsign removes from the header what marks an answer as a backend
+	// StripSignature removes from the header what marks an answer as a backend
 	// server's own.
-	Unsign(header http.Header)
+	StripSignature(header http.Header)
 }
 
 // Forward is a request on its way to a backend server.
 type Forward struct {
-	Request *Request
-	Backend *knowledge.Backend
-	Left    time.Duration // until the backend server may give up
-	// LastEvent is the id of the last event that was handed out.
-	LastEvent string
-	// Holder is the address of an engine from which the backend server fetches
+	Request   *Request
+	Backend   *knowledge.Backend
+	Remaining time.Duration // until the backend server may give up
+	// LastEventID is the id of the last event that was handed out.
+	LastEventID string
+	// FetchSource is the address of an engine from which the backend server fetches
 	// prompt parts that it lacks, "" for none.
-	Holder fleet.Address
+	FetchSource fleet.Address
 }
 
 // Reply is what a backend server says of an answer in its header.
@@ -45,17 +45,17 @@
 	// Replaced means that another backend server has the address by now.
 	Replaced bool
 	Encoded  bool // the body isn't the one that the backend server made
-	Leaving  bool // the backend server takes nothing new any more
-	// ClosedFor is how long the backend server wants nothing of this router, 0 if it
+	Draining bool // the backend server takes nothing new any more
+	// UnavailableFor is how long the backend server wants nothing of this router, 0 if it
 	// does not say.
-	ClosedFor time.Duration
-	// ColdLeft is how long the backend server says that it will be cold, 0 if it
+	UnavailableFor time.Duration
+	// ColdRemaining is how long the backend server says that it will be cold, 0 if it
 	// does not say.
-	ColdLeft time.Duration
+	ColdRemaining time.Duration
 	// Load is what the backend server tells of its load; BadLoad means that it can't be
 	// read.
-	Load    pace.Report
-	BadLoad bool
+	Load          pace.Report
+	MalformedLoad bool
 }
 
 // sound tells whether a success with this header is the backend server's own
--- a/internal/gate/drain.go
+++ b/internal/gate/drain.go
@@ -61,7 +61,7 @@
 	case d.requests.Err() != nil:
 		return false
 	}
-	return request.Left(now) <= boottime.Instant(d.deadline.Load()).Sub(now)
+	return request.Remaining(now) <= boottime.Instant(d.deadline.Load()).Sub(now)
 }
 
 // end ends the requests in progress and takes none any more.
--- a/internal/gate/drain_answers_test.go
+++ b/internal/gate/drain_answers_test.go
@@ -65,6 +65,6 @@
 		{ID: "j", Service: "s", Address: address, Slots: 8},
 	}, knowledge.Position{Revision: 2}, now)
 	settings := *g.handler.settings.get()
-	settings.Budget = BudgetSettings{Window: time.Minute, Extra: 10}
+	settings.Budget = RetryBudgetSettings{Window: time.Minute, Extra: 10}
 	g.ApplyConfig(settings)
 }
--- a/internal/gate/drain_test.go
+++ b/internal/gate/drain_test.go
@@ -55,7 +55,7 @@
 	backend := knowledge.Backend{ID: "i", Service: "s", Address: fleet.Address(server.Listener.Addr().String()), Slots: 8}
 	state.SetBackends([]knowledge.Backend{backend}, knowledge.Position{Revision: 1}, boottime.Now())
 	g.Manager = NewManager(Options{
-		Settings:    Settings{Freshness: Freshness{Keyed: time.Minute, Final: time.Minute}, Admission: policy.Defaults(), BodyMemory: 1 << 20},
+		Settings:    Settings{Freshness: Freshness{KeyMaxAge: time.Minute, DenialMaxAge: time.Minute}, Admission: policy.Defaults(), BodyMemory: 1 << 20},
 		Callers:     fleet.Address(g.address),
 		Connections: 100,
 		Grace:       testGrace,
@@ -252,12 +252,12 @@
 func TestDrainStateTakesWhatEndsInTime(t *testing.T) {
 	d := newDrainState()
 	now := boottime.Now()
-	request := &Request{Received: now, Limit: time.Second}
+	request := &Request{Received: now, Timeout: time.Second}
 	if !d.accepts(request, now) {
 		t.Error("a request is refused without a signal to stop")
 	}
 	d.start(now, now.Add(5*time.Second))
-	if !d.accepts(&Request{Received: now, Limit: time.Minute}, now) {
+	if !d.accepts(&Request{Received: now, Timeout: time.Minute}, now) {
 		t.Error("a request is refused before the balancer has heard")
 	}
 	d.listenerClosed.Store(true)
@@ -265,7 +265,7 @@
 		t.Error("a request that ends in time is refused")
 	}
 	late := now.Add(4500 * time.Millisecond)
-	if d.accepts(&Request{Received: late, Limit: time.Second}, late) {
+	if d.accepts(&Request{Received: late, Timeout: time.Second}, late) {
 		t.Error("a request is taken that may last beyond the end")
 	}
 }
--- a/internal/gate/entry_test.go
+++ b/internal/gate/entry_test.go
@@ -26,8 +26,8 @@
 
 func (noPeers) Load(uint32) BackendLoad                            { return BackendLoad{} }
 func (noPeers) Paces(boottime.Instant) map[uint32]pace.Observation { return nil }
-func (noPeers) Contact() boottime.Instant                          { return 0 }
-func (noPeers) Follows() bool                                      { return true }
+func (noPeers) StoreContact() boottime.Instant                     { return 0 }
+func (noPeers) WatchesStore() bool                                 { return true }
 func (noPeers) Routers() int                                       { return 1 }
 func (noPeers) Order(uint64) (int, int)                            { return 0, 1 }
 func (noPeers) Settled() bool                                      { return true }
@@ -40,7 +40,7 @@
 }
 func (plainDialect) ForwardHeader(forward *Forward) http.Header { return forward.Request.Header }
 func (plainDialect) Reply(int, http.Header) Reply               { return Reply{Signed: true} }
-func (plainDialect) Unsign(http.Header)                         {}
+func (plainDialect) StripSignature(http.Header)                 {}
 
 // listeningGate runs a gate with the number of connections and returns its
 // address.
@@ -146,7 +146,7 @@
 	contact boottime.Instant
 }
 
-func (p contactPeers) Contact() boottime.Instant { return p.contact }
+func (p contactPeers) StoreContact() boottime.Instant { return p.contact }
 
 // Symptom: callers of some routers are served badly, and others wait for
 // engines that work for them.
@@ -347,7 +347,7 @@
 	manager, address := listeningGate(t, 10)
 	manager.options.State.SetConfiguration(knownView(boottime.Now()).Index.Configuration, boottime.Now())
 	manager.options.State.SetBackends(nil, knowledge.Position{Revision: 1}, boottime.Now())
-	manager.ApplyConfig(Settings{Freshness: Freshness{Keyed: time.Minute, Final: time.Minute}})
+	manager.ApplyConfig(Settings{Freshness: Freshness{KeyMaxAge: time.Minute, DenialMaxAge: time.Minute}})
 	manager.SetDrained(true, "ada", "new kernel")
 	awaitReason(t, manager, reasonDrained)
 	conn, err := net.Dial("tcp", address)
--- a/internal/gate/handler.go
+++ b/internal/gate/handler.go
@@ -22,7 +22,7 @@
 type Settings struct {
 	Freshness Freshness
 	Revoke    time.Duration // from the withdrawal of a key until no request with it runs
-	Budget    BudgetSettings
+	Budget    RetryBudgetSettings
 	Cold      ColdSettings
 	Evacuate  time.Duration // from an order to evacuate a zone until nothing is sent there, 0 for none
 	Admission policy.Settings
@@ -127,7 +127,7 @@
 		return
 	}
 	request.Fingerprint = fingerprint(request)
-	ctx, cancel := context.WithTimeout(r.Context(), request.Left(boottime.Now()))
+	ctx, cancel := context.WithTimeout(r.Context(), request.Remaining(boottime.Now()))
 	defer cancel()
 	h.setWriteDeadline(w, request)
 	h.recordAcceptedDraining(r.Context(), request)
@@ -152,7 +152,7 @@
 func (h *handler) setWriteDeadline(w http.ResponseWriter, request *Request) {
 	control := http.NewResponseController(w)
 	// Connections of tests have no deadlines; those of callers do.
-	_ = control.SetWriteDeadline(time.Now().Add(request.Limit + writeSlack))
+	_ = control.SetWriteDeadline(time.Now().Add(request.Timeout + writeSlack))
 }
 
 // readBody reads the whole body, so that a request that breaks off on its way
@@ -170,7 +170,7 @@
 		return counted, &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonMemory, RetryAfter: startRetry}
 	}
 	control := http.NewResponseController(w)
-	_ = control.SetReadDeadline(time.Now().Add(request.Limit)) // as in bound
+	_ = control.SetReadDeadline(time.Now().Add(request.Timeout)) // as in bound
 	body := io.Reader(r.Body)
 	if most > 0 {
 		body = http.MaxBytesReader(w, r.Body, most)
--- a/internal/gate/holder.go
+++ b/internal/gate/holder.go
@@ -93,7 +93,7 @@
 // firstHome returns the engine that keeps the first part of the prompt before any other
 // does, nil if that is the chosen one or the prompt has no such part.
 func firstHome(search *modelSearch, chosen *knowledge.Backend) *knowledge.Backend {
-	parts := search.request.Prompt.Parts
+	parts := search.request.Prompt.Segments
 	serving := search.serving()
 	if len(parts) < 3 || len(serving) == 0 {
 		return nil
--- a/internal/gate/holder_test.go
+++ b/internal/gate/holder_test.go
@@ -27,9 +27,9 @@
 
 // newPartFleet lists engines; the part of its request prefers them in the order of ids.
 func newPartFleet() *partFleet {
-	request := &Request{Service: "s", Prompt: Prompt{Tokens: 3000, Parts: []PromptPart{{"shared", 2000}, {"own", 1000}}}}
+	request := &Request{Service: "s", Prompt: Prompt{Tokens: 3000, Segments: []PromptSegment{{"shared", 2000}, {"own", 1000}}}}
 	ids := []string{"i-1", "i-2", "i-3", "i-4", "i-5"}
-	key := selection.Hash(request.Prompt.SharedPart())
+	key := selection.Hash(request.Prompt.SharedSegment())
 	slices.SortFunc(ids, func(a, b string) int {
 		if selection.Weight(key, selection.Hash(a)) > selection.Weight(key, selection.Hash(b)) {
 			return -1
@@ -58,7 +58,7 @@
 // for none.
 func (f *partFleet) holder(place int, at boottime.Instant) int {
 	view := f.state.View()
-	search := &modelSearch{request: f.request, view: view, part: f.request.Prompt.SharedPart()}
+	search := &modelSearch{request: f.request, view: view, part: f.request.Prompt.SharedSegment()}
 	address := f.a.holder(search, view.Backends[f.ids[place]], at)
 	return slices.IndexFunc(f.ids, func(id string) bool { return entryOf(id).Address == address })
 }
--- a/internal/gate/identify.go
+++ b/internal/gate/identify.go
@@ -20,18 +20,18 @@
 
 // Inputs are what decided on the place of a request, for the records.
 type Inputs struct {
-	Tier     policy.Tier   // by what right it took or was refused capacity
-	Backend  string        // the best choice, "" if none was looked at
-	Standing float64       // of the account, in parts of its share
-	Ahead    time.Duration // until the engine has read the prompts ahead
-	Budget   time.Duration // for that, or for the wait at a plain server
-	Shared   bool          // the engine is the one that its shared parts prefer
-	Prefill  time.Duration // to read the prompts ahead and its own, at the speed of the moment
-	Gap      time.Duration // for that beside streams in progress, 0 for no bound
-	Disrupts bool          // streams in progress would pause for longer
-	Moved    bool          // another engine was chosen for the sake of streams at its homes
-	Plain    bool          // the request is for a plain service
-	Wait     time.Duration // expected at the plain server
+	Tier      policy.Tier   // by what right it took or was refused capacity
+	Backend   string        // the best choice, "" if none was looked at
+	ShareUsed float64       // of the account, in parts of its share
+	Ahead     time.Duration // until the engine has read the prompts ahead
+	Budget    time.Duration // for that, or for the wait at a plain server
+	Shared    bool          // the engine is the one that its shared parts prefer
+	Prefill   time.Duration // to read the prompts ahead and its own, at the speed of the moment
+	Gap       time.Duration // for that beside streams in progress, 0 for no bound
+	Disrupts  bool          // streams in progress would pause for longer
+	Moved     bool          // another engine was chosen for the sake of streams at its homes
+	Plain     bool          // the request is for a plain service
+	Wait      time.Duration // expected at the plain server
 }
 
 // Reason names why a request was refused. Logs and metrics carry it.
@@ -39,40 +39,40 @@
 
 // The reasons of refusals.
 const (
-	ReasonMalformed    Reason = "malformed"
-	ReasonBodyTooLarge Reason = "body-too-large"
-	ReasonBodyTimeout  Reason = "body-timeout"
-	ReasonNoKnowledge  Reason = "no-knowledge"
-	ReasonStale        Reason = "stale-configuration"
-	ReasonNoRoute      Reason = "no-route"
-	ReasonNoAccount    Reason = "unknown-key"
-	ReasonBusy         Reason = "busy"
-	ReasonShare        Reason = "over-share"
-	ReasonDisruptive   Reason = "disruptive" // streams in progress would pause for too long
-	ReasonNoBackend    Reason = "no-backend"
-	ReasonClosed       Reason = "closed"     // all that are left want nothing for a time
-	ReasonEvacuated    Reason = "evacuated"  // all zones with backend servers of the service are
-	ReasonWarming      Reason = "warming-up" // all that are left have just started and get little
-	ReasonDeclined     Reason = "declined"
-	ReasonBroken       Reason = "broken"
-	ReasonBadAnswer    Reason = "bad-answer"
-	ReasonTimeout      Reason = "timeout"
-	ReasonCallerGone   Reason = "caller-gone"
-	ReasonSuspect      Reason = "breaks-backends"
-	ReasonMemory       Reason = "memory"
-	ReasonOverloaded   Reason = "router-overloaded"
-	ReasonLate         Reason = "too-late"
-	ReasonDraining     Reason = "draining" // the process ends before the request might
+	ReasonMalformed          Reason = "malformed"
+	ReasonBodyTooLarge       Reason = "body-too-large"
+	ReasonBodyTimeout        Reason = "body-timeout"
+	ReasonNoKnowledge        Reason = "no-knowledge"
+	ReasonStaleConfiguration Reason = "stale-configuration"
+	ReasonNoRoute            Reason = "no-route"
+	ReasonUnknownKey         Reason = "unknown-key"
+	ReasonBusy               Reason = "busy"
+	ReasonOverShare          Reason = "over-share"
+	ReasonDisruptive         Reason = "disruptive" // streams in progress would pause for too long
+	ReasonNoBackend          Reason = "no-backend"
+	ReasonClosed             Reason = "closed"     // all that are left want nothing for a time
+	ReasonEvacuated          Reason = "evacuated"  // all zones with backend servers of the service are
+	ReasonWarming            Reason = "warming-up" // all that are left have just started and get little
+	ReasonDeclined           Reason = "declined"
+	ReasonBroken             Reason = "broken"
+	ReasonBadAnswer          Reason = "bad-answer"
+	ReasonTimeout            Reason = "timeout"
+	ReasonCallerGone         Reason = "caller-gone"
+	ReasonSuspect            Reason = "breaks-backends"
+	ReasonMemory             Reason = "memory"
+	ReasonOverloaded         Reason = "router-overloaded"
+	ReasonTooLate            Reason = "too-late"
+	ReasonDraining           Reason = "draining" // the process ends before the request might
 )
 
 // Freshness bounds how old knowledge may be.
 type Freshness struct {
-	// Keyed is the greatest age of a configuration by which a request with a
+	// KeyMaxAge is the greatest age of a configuration by which a request with a
 	// key is taken.
-	Keyed time.Duration
-	// Final is the greatest age of a configuration by which an unknown route
+	KeyMaxAge time.Duration
+	// DenialMaxAge is the greatest age of a configuration by which an unknown route
 	// or key is told so for good.
-	Final time.Duration
+	DenialMaxAge time.Duration
 }
 
 // startRetry is the time to come back that a router tells while it does not
@@ -93,12 +93,12 @@
 	if view.Index.Configuration.KeysRequired && !request.Route.Public {
 		request.Account = view.Index.Account(request.Key)
 		if request.Account == nil {
-			return unknown(http.StatusUnauthorized, ReasonNoAccount, age, fresh)
+			return unknown(http.StatusUnauthorized, ReasonUnknownKey, age, fresh)
 		}
 		// The key may have been withdrawn since. Nothing shows that to a
 		// router that the store does not reach but the age of what it knows.
-		if age > fresh.Keyed {
-			return &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonStale, RetryAfter: startRetry}
+		if age > fresh.KeyMaxAge {
+			return &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonStaleConfiguration, RetryAfter: startRetry}
 		}
 	}
 	service, ok := request.Route.Destination(point)
@@ -106,15 +106,15 @@
 		return &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonNoBackend, RetryAfter: startRetry}
 	}
 	request.Service = service
-	request.Limit = limit(request)
+	request.Timeout = limit(request)
 	return nil
 }
 
 // unknown returns the refusal of a request whose route or key is unknown. A
 // router that may have missed a configuration does not deny for good.
 func unknown(status int, reason Reason, age time.Duration, fresh Freshness) *Refusal {
-	if age > fresh.Final {
-		return &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonStale, RetryAfter: startRetry}
+	if age > fresh.DenialMaxAge {
+		return &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonStaleConfiguration, RetryAfter: startRetry}
 	}
 	return &Refusal{Status: status, Reason: reason}
 }
--- a/internal/gate/keptparts_test.go
+++ b/internal/gate/keptparts_test.go
@@ -17,9 +17,9 @@
 func TestPartsAreFetchedFromWhereTheyWereRead(t *testing.T) {
 	a, view, request := benchAdmission(6, 1, 4, BackendLoad{})
 	usable := view.Serving["s"]
-	ranked := selection.Rank(usable, idHash, selection.Hash(request.Prompt.SharedPart()), 2)
+	ranked := selection.Rank(usable, idHash, selection.Hash(request.Prompt.SharedSegment()), 2)
 	first, second := usable[ranked[0]], usable[ranked[1]]
-	request.Prompt.Parts[0].ID = partAtHome(usable, first)
+	request.Prompt.Segments[0].ID = partAtHome(usable, first)
 	full := BackendLoad{Running: first.Slots}
 	a.loads.begin(first.Incarnation, full)
 	placed, refusal := a.place(request, view, nil)
--- a/internal/gate/lag_test.go
+++ b/internal/gate/lag_test.go
@@ -129,7 +129,7 @@
 	manager, _ := listeningGate(t, 10)
 	h := manager.handler
 	h.dialect = promptDialect{}
-	h.settings.set(Settings{Freshness: Freshness{Keyed: time.Minute, Final: time.Minute}})
+	h.settings.set(Settings{Freshness: Freshness{KeyMaxAge: time.Minute, DenialMaxAge: time.Minute}})
 	view := knownView(boottime.Now())
 	h.state.SetConfiguration(view.Index.Configuration, boottime.Now())
 	h.state.SetBackends(nil, knowledge.Position{Revision: 1}, boottime.Now())
--- a/internal/gate/loads.go
+++ b/internal/gate/loads.go
@@ -43,12 +43,12 @@
 	Paces(now boottime.Instant) map[uint32]pace.Observation
 	// Fleet tells a router's part of what cold backend servers may get.
 	slowstart.Fleet
-	// Contact returns when the store last answered another router, 0 if it
+	// StoreContact returns when the store last answered another router, 0 if it
 	// answers none at present.
-	Contact() boottime.Instant
-	// Follows tells whether this router follows the store itself. The others
+	StoreContact() boottime.Instant
+	// WatchesStore tells whether this router follows the store itself. The others
 	// hear from those that do.
-	Follows() bool
+	WatchesStore() bool
 }
 
 const (
--- a/internal/gate/manager.go
+++ b/internal/gate/manager.go
@@ -173,11 +173,11 @@
 // When the store answers nobody, last contacts still differ by as much as the
 // routers' calls lie apart, so another's must be newer by the whole time.
 func (m *Manager) isolated(view *knowledge.View) bool {
-	if !m.options.Peers.Follows() {
+	if !m.options.Peers.WatchesStore() {
 		return false // it does not call the store
 	}
 	most := time.Duration(float64(m.handler.settings.get().Revoke) * contactAgeShare)
-	others := m.options.Peers.Contact()
+	others := m.options.Peers.StoreContact()
 	return others != 0 && others.Sub(view.StoreContact) > most
 }
 
--- a/internal/gate/near_test.go
+++ b/internal/gate/near_test.go
@@ -36,7 +36,7 @@
 // place places a request for the part, which is cheap to read.
 func (f *zonedFleet) place(t *testing.T, part int) *placement {
 	t.Helper()
-	f.request.Prompt.Parts = []PromptPart{{fmt.Sprint("part ", part), 100}, {fmt.Sprint("own part ", part), 400}}
+	f.request.Prompt.Segments = []PromptSegment{{fmt.Sprint("part ", part), 100}, {fmt.Sprint("own part ", part), 400}}
 	f.request.Prompt.Tokens = 500
 	placed, refusal := f.admission.place(f.request, f.view, nil)
 	if refusal != nil {
@@ -149,7 +149,7 @@
 		for range 3 {
 			f.ended(f.request, f.place(t, part), true)
 		}
-		if !f.kept.asked(f.request.Prompt.SharedPart(), boottime.Now()) {
+		if !f.kept.asked(f.request.Prompt.SharedSegment(), boottime.Now()) {
 			t.Errorf("part %d does not count as asked often", part)
 		}
 	}
--- a/internal/gate/paces.go
+++ b/internal/gate/paces.go
@@ -75,7 +75,7 @@
 		return
 	}
 	watcher := p.watcher.Load()
-	if reply.BadLoad {
+	if reply.MalformedLoad {
 		watcher.count(reportMalformed)
 		return
 	}
--- a/internal/gate/paces_test.go
+++ b/internal/gate/paces_test.go
@@ -258,7 +258,7 @@
 		t.Error("a report of another server was taken")
 	}
 	f.due()
-	h.observeReply(f.fast, Reply{BadLoad: true})
+	h.observeReply(f.fast, Reply{MalformedLoad: true})
 	h.observeReply(f.fast, Reply{Load: report})
 	h.observeReply(f.fast, Reply{Load: pace.Report{Slots: 48}})
 	f.due()
--- a/internal/gate/place_bench_test.go
+++ b/internal/gate/place_bench_test.go
@@ -59,7 +59,7 @@
 		Route:   &view.Index.Configuration.Routes[0],
 		Account: &view.Index.Configuration.Accounts[0],
 		Service: "s",
-		Prompt:  Prompt{Tokens: 3000, MaxOutput: 200, Parts: []PromptPart{{"a", 800}, {"b", 410}, {"c", 1790}}},
+		Prompt:  Prompt{Tokens: 3000, MaxOutput: 200, Segments: []PromptSegment{{"a", 800}, {"b", 410}, {"c", 1790}}},
 	}
 	return a, view, request
 }
--- a/internal/gate/place_model.go
+++ b/internal/gate/place_model.go
@@ -32,7 +32,7 @@
 	facts := a.facts(request, view, again, now)
 	tier := a.policy().Tier(facts, rand.Float64())
 	if !a.policy().TierOpen(tier, facts.Usage) {
-		return nil, a.refuseModel(request, tier, Inputs{Tier: tier, Standing: facts.Usage.ShareUsed})
+		return nil, a.refuseModel(request, tier, Inputs{Tier: tier, ShareUsed: facts.Usage.ShareUsed})
 	}
 	search := a.search(request, view, tier, facts, now)
 	backend, choice := a.choose(search, usable, now)
@@ -73,7 +73,7 @@
 		bounds:  bounds,
 		demand:  a.demand(request, bounds),
 		limits:  a.limits(view, request.Service, bounds),
-		part:    request.Prompt.SharedPart(),
+		part:    request.Prompt.SharedSegment(),
 	}
 	search.keeper = a.keeper(search.part, view, now)
 	if !a.paces.told(request.Service) {
@@ -130,16 +130,16 @@
 // inputs returns what decided on the place of the request.
 func (s *modelSearch) inputs(backend *knowledge.Backend, choice selection.Choice) Inputs {
 	return Inputs{
-		Tier:     s.tier,
-		Backend:  backend.ID,
-		Standing: s.facts.Usage.ShareUsed,
-		Ahead:    choice.Ahead,
-		Budget:   s.demand.Budget,
-		Shared:   choice.Place == 0,
-		Prefill:  choice.Prefill,
-		Gap:      s.protection.Gap,
-		Disrupts: choice.Disrupts,
-		Moved:    choice.Moved,
+		Tier:      s.tier,
+		Backend:   backend.ID,
+		ShareUsed: s.facts.Usage.ShareUsed,
+		Ahead:     choice.Ahead,
+		Budget:    s.demand.Budget,
+		Shared:    choice.Place == 0,
+		Prefill:   choice.Prefill,
+		Gap:       s.protection.Gap,
+		Disrupts:  choice.Disrupts,
+		Moved:     choice.Moved,
 	}
 }
 
@@ -182,7 +182,7 @@
 func (a *admission) refuseModel(request *Request, tier policy.Tier, inputs Inputs) *Refusal {
 	reason := ReasonBusy
 	if tier == policy.TierIdle {
-		reason = ReasonShare
+		reason = ReasonOverShare
 	}
 	return a.refuseInTurn(request, reason, inputs)
 }
@@ -190,7 +190,7 @@
 // refuseInTurn refuses a request for want of room.
 func (a *admission) refuseInTurn(request *Request, reason Reason, inputs Inputs) *Refusal {
 	refusal := a.refuse(request, reason)
-	refusal.RetryAfter = a.policy().RetryAfterByUsage(request.Route.TargetLatency, inputs.Standing, rand.Float64())
+	refusal.RetryAfter = a.policy().RetryAfterByUsage(request.Route.TargetLatency, inputs.ShareUsed, rand.Float64())
 	refusal.Inputs = inputs
 	return refusal
 }
--- a/internal/gate/plain.go
+++ b/internal/gate/plain.go
@@ -85,7 +85,7 @@
 	servers, heard := a.lookPlain(usable, now)
 	choice := a.policy().ChoosePlain(policy.PlainRequest{
 		Target:     request.Route.TargetLatency,
-		Remaining:  request.Left(now),
+		Remaining:  request.Remaining(now),
 		Idempotent: request.Idempotent(),
 		Rank:       view.Index.Rank(request.Service, request.Route, request.Account),
 		Jitter:     rand.Float64(),
--- a/internal/gate/plain_test.go
+++ b/internal/gate/plain_test.go
@@ -36,7 +36,7 @@
 	logger.SetOutput(io.Discard)
 	return NewManager(Options{
 		Settings: Settings{
-			Freshness: Freshness{Keyed: 4 * time.Second, Final: 2 * time.Second},
+			Freshness: Freshness{KeyMaxAge: 4 * time.Second, DenialMaxAge: 2 * time.Second},
 			Admission: policy.Defaults(), Plain: plain, BodyMemory: 1 << 20,
 		},
 		Dialect: plainDialect{}, State: state, Peers: noPeers{}, Logger: logger,
--- a/internal/gate/records.go
+++ b/internal/gate/records.go
@@ -128,8 +128,8 @@
 	if inputs.Tier != policy.TierOwed {
 		fields["tier"] = inputs.Tier
 	}
-	if inputs.Standing > 0 {
-		fields["standing"] = math.Round(inputs.Standing*100) / 100
+	if inputs.ShareUsed > 0 {
+		fields["standing"] = math.Round(inputs.ShareUsed*100) / 100
 	}
 	if inputs.Plain {
 		fields["backend"] = inputs.Backend
@@ -196,7 +196,7 @@
 }
 
 func (r *requestLog) callerDisconnected(request *Request) {
-	r.tally.ended(request, func(route *RouteTally) { route.Left++ })
+	r.tally.ended(request, func(route *RouteCounts) { route.Disconnected++ })
 	r.write(r.answerLimit, event.GateCallerGone, request, logrus.Fields{})
 }
 
@@ -207,7 +207,7 @@
 		return
 	}
 	now := boottime.Now()
-	fields := logrus.Fields{"since_stop_ms": since.Milliseconds(), "left_ms": request.Left(now).Milliseconds()}
+	fields := logrus.Fields{"since_stop_ms": since.Milliseconds(), "left_ms": request.Remaining(now).Milliseconds()}
 	if conn != nil {
 		fields["connection_age_ms"] = now.Sub(conn.opened).Milliseconds()
 		fields["connection_requests"] = conn.requests.Load()
--- a/internal/gate/records_test.go
+++ b/internal/gate/records_test.go
@@ -16,7 +16,7 @@
 func TestRecordsTellWhatDecided(t *testing.T) {
 	logger, hook := test.NewNullLogger()
 	records := newRequestLog(logger, knowledge.NewState(), func() logrus.Fields { return logrus.Fields{} })
-	inputs := Inputs{Backend: "i-1", Standing: 1.234, Ahead: 900 * time.Millisecond, Budget: 600 * time.Millisecond}
+	inputs := Inputs{Backend: "i-1", ShareUsed: 1.234, Ahead: 900 * time.Millisecond, Budget: 600 * time.Millisecond}
 	records.refused(&Request{ID: "a"}, Refusal{Status: 503, Reason: ReasonBusy, Inputs: inputs})
 	records.failed(&Request{ID: "b"}, &knowledge.Backend{ID: "i-2"}, 500)
 	records.answered(&Request{ID: "b"}, &placement{backend: &knowledge.Backend{ID: "i-3"}}, 500, 2, false, nil)
--- a/internal/gate/relay_whole.go
+++ b/internal/gate/relay_whole.go
@@ -76,7 +76,7 @@
 func (r *relay) callerHeader(answer *backendconn.Answer, reply Reply) http.Header {
 	header := fleet.EndToEnd(answer.Header)
 	if promisesNotRun(answer.Status) || !reply.Signed {
-		r.handler.dialect.Unsign(header)
+		r.handler.dialect.StripSignature(header)
 	}
 	return header
 }
--- a/internal/gate/request.go
+++ b/internal/gate/request.go
@@ -21,14 +21,14 @@
 	Key      string
 	Deadline time.Duration // how long the caller waits, 0 if it did not say
 	Prompt   Prompt
-	// LastEvent is the id of the last event that the caller has, "" for none.
-	LastEvent string
-	Received  boottime.Instant
+	// LastEventID is the id of the last event that the caller has, "" for none.
+	LastEventID string
+	Received    boottime.Instant
 
 	Route       *knowledge.Route
 	Account     *knowledge.Account // nil on public routes
 	Service     fleet.Service
-	Limit       time.Duration // from Received to the final answer
+	Timeout     time.Duration // from Received to the final answer
 	Fingerprint uint64        // the same when the caller sends the request again
 }
 
@@ -40,34 +40,34 @@
 	// ExpectedOutput is the caller's guess of the tokens to be generated, 0
 	// for none. It is right at the median and often far off.
 	ExpectedOutput int
-	Parts          []PromptPart
+	Segments       []PromptSegment
 }
 
-// PromptPart is a part of a prompt. Requests share parts; a part is kept by an
+// PromptSegment is a part of a prompt. Requests share parts; a part is kept by an
 // engine only together with all parts before it.
-type PromptPart struct {
+type PromptSegment struct {
 	ID     string
 	Tokens int
 }
 
-// SharedPart returns the last part that other requests have as well, or "".
+// SharedSegment returns the last part that other requests have as well, or "".
 // The last part of all belongs to the request or its session alone.
-func (p Prompt) SharedPart() string {
-	switch len(p.Parts) {
+func (p Prompt) SharedSegment() string {
+	switch len(p.Segments) {
 	case 0:
 		return ""
 	case 1:
-		return p.Parts[0].ID
+		return p.Segments[0].ID
 	default:
-		return p.Parts[len(p.Parts)-2].ID
+		return p.Segments[len(p.Segments)-2].ID
 	}
 }
 
 // SharedTokens returns the tokens of the parts that other requests share.
 func (p Prompt) SharedTokens() int {
 	shared := 0
-	for i := range len(p.Parts) - 1 {
-		shared += p.Parts[i].Tokens
+	for i := range len(p.Segments) - 1 {
+		shared += p.Segments[i].Tokens
 	}
 	return shared
 }
@@ -92,5 +92,7 @@
 // Idempotent tells whether the request may run more than once.
 func (r *Request) Idempotent() bool { return r.Route.Repeat != knowledge.RepeatNever }
 
-// Left returns the time that is left for the request at the moment now.
-func (r *Request) Left(now boottime.Instant) time.Duration { return r.Limit - now.Sub(r.Received) }
+// Remaining returns the time that is left for the request at the moment now.
+func (r *Request) Remaining(now boottime.Instant) time.Duration {
+	return r.Timeout - now.Sub(r.Received)
+}
--- a/internal/gate/run.go
+++ b/internal/gate/run.go
@@ -81,7 +81,7 @@
 // mayRetry tells whether the request may be sent to another backend server.
 func (r *relay) mayRetry(ctx context.Context, result sendOutcome) bool {
 	switch {
-	case ctx.Err() != nil, r.request.Left(boottime.Now()) < minTimeLeft:
+	case ctx.Err() != nil, r.request.Remaining(boottime.Now()) < minTimeLeft:
 		return false
 	case r.sends >= max(r.request.Route.MaxAttempts, 1), r.connectFailures >= maxConnectFailures:
 		return false
@@ -145,7 +145,7 @@
 	}
 	return Refusal{
 		Status:     http.StatusServiceUnavailable,
-		Reason:     ReasonLate,
+		Reason:     ReasonTooLate,
 		RetryAfter: r.handler.admission.retryAfter(r.request),
 	}
 }
@@ -204,27 +204,27 @@
 	if reply.Replaced {
 		return // another server has answered, and it speaks of itself
 	}
-	h.admission.cold.warn(backend.Incarnation, reply.ColdLeft)
+	h.admission.cold.warn(backend.Incarnation, reply.ColdRemaining)
 	now := boottime.Now()
 	h.admission.paces.heed(backend, reply, now)
-	if reply.Leaving && h.admission.closures.add(backend.Incarnation, forGood, now) {
+	if reply.Draining && h.admission.closures.add(backend.Incarnation, forGood, now) {
 		h.requestLog.backendDraining(backend)
 	}
-	if reply.ClosedFor > 0 && h.admission.closures.add(backend.Incarnation, now.Add(reply.ClosedFor), now) {
-		h.requestLog.backendRejecting(backend, reply.ClosedFor)
+	if reply.UnavailableFor > 0 && h.admission.closures.add(backend.Incarnation, now.Add(reply.UnavailableFor), now) {
+		h.requestLog.backendRejecting(backend, reply.UnavailableFor)
 	}
 }
 
 func (r *relay) outgoingRequest(ctx context.Context, placed *placement, now boottime.Instant) *backendconn.Request {
 	forward := &Forward{
-		Request:   r.request,
-		Backend:   placed.backend,
-		Left:      r.request.Left(now),
-		LastEvent: r.stream.lastEventID,
-		Holder:    placed.holder,
-	}
-	if forward.LastEvent == "" {
-		forward.LastEvent = r.request.LastEvent
+		Request:     r.request,
+		Backend:     placed.backend,
+		Remaining:   r.request.Remaining(now),
+		LastEventID: r.stream.lastEventID,
+		FetchSource: placed.holder,
+	}
+	if forward.LastEventID == "" {
+		forward.LastEventID = r.request.LastEventID
 	}
 	return &backendconn.Request{
 		Method:         r.request.Method,
--- a/internal/gate/tally.go
+++ b/internal/gate/tally.go
@@ -18,22 +18,22 @@
 // otherAccounts stands for those beyond the bound.
 const otherAccounts fleet.Account = "(others)"
 
-// RouteTally counts what became of the requests of one route that ended in a
+// RouteCounts counts what became of the requests of one route that ended in a
 // second.
-type RouteTally struct {
-	InTime  int            `json:"in_time,omitempty"`
-	Late    int            `json:"late,omitempty"`
-	Failed  int            `json:"failed,omitempty"`
-	Left    int            `json:"left,omitempty"` // callers that left
-	Refused map[Reason]int `json:"refused,omitempty"`
+type RouteCounts struct {
+	InTime       int            `json:"in_time,omitempty"`
+	Late         int            `json:"late,omitempty"`
+	Failed       int            `json:"failed,omitempty"`
+	Disconnected int            `json:"left,omitempty"` // callers that left
+	Refused      map[Reason]int `json:"refused,omitempty"`
 }
 
-// AccountTally counts the tokens that an account asked for in a second, and
+// AccountCounts counts the tokens that an account asked for in a second, and
 // those of its requests that were answered in it.
-type AccountTally struct {
-	Account fleet.Account `json:"account"`
-	Asked   int64         `json:"asked"`
-	Served  int64         `json:"served"`
+type AccountCounts struct {
+	Account   fleet.Account `json:"account"`
+	Requested int64         `json:"asked"`
+	Served    int64         `json:"served"`
 }
 
 // tally counts requests until it is written. Records of single requests are a
@@ -41,8 +41,8 @@
 // methods may be called concurrently.
 type tally struct {
 	mu       sync.Mutex
-	routes   map[string]*RouteTally
-	accounts map[fleet.Account]*AccountTally
+	routes   map[string]*RouteCounts
+	accounts map[fleet.Account]*AccountCounts
 }
 
 func newTally() *tally {
@@ -52,8 +52,8 @@
 }
 
 func (t *tally) reset() {
-	t.routes = make(map[string]*RouteTally)
-	t.accounts = make(map[fleet.Account]*AccountTally)
+	t.routes = make(map[string]*RouteCounts)
+	t.accounts = make(map[fleet.Account]*AccountCounts)
 }
 
 // asked counts a request that has arrived.
@@ -63,11 +63,11 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.account(request.Account.Name).Asked += int64(request.Prompt.Cost())
+	t.account(request.Account.Name).Requested += int64(request.Prompt.Cost())
 }
 
 // ended counts the end of a request.
-func (t *tally) ended(request *Request, note func(route *RouteTally)) {
+func (t *tally) ended(request *Request, note func(route *RouteCounts)) {
 	name := ""
 	if request != nil && request.Route != nil {
 		name = request.Route.Name
@@ -76,7 +76,7 @@
 	defer t.mu.Unlock()
 	route := t.routes[name]
 	if route == nil {
-		route = &RouteTally{}
+		route = &RouteCounts{}
 		t.routes[name] = route
 	}
 	note(route)
@@ -84,7 +84,7 @@
 
 // answered counts an answer.
 func (t *tally) answered(request *Request, success, late bool) {
-	t.ended(request, func(route *RouteTally) {
+	t.ended(request, func(route *RouteCounts) {
 		switch {
 		case !success:
 			route.Failed++
@@ -101,7 +101,7 @@
 
 // refused counts a refusal.
 func (t *tally) refused(request *Request, reason Reason) {
-	t.ended(request, func(route *RouteTally) {
+	t.ended(request, func(route *RouteCounts) {
 		if route.Refused == nil {
 			route.Refused = make(map[Reason]int)
 		}
@@ -109,10 +109,10 @@
 	})
 }
 
-func (t *tally) account(name fleet.Account) *AccountTally {
+func (t *tally) account(name fleet.Account) *AccountCounts {
 	known := t.accounts[name]
 	if known == nil {
-		known = &AccountTally{Account: name}
+		known = &AccountCounts{Account: name}
 		t.accounts[name] = known
 	}
 	return known
@@ -134,20 +134,20 @@
 }
 
 // largest returns the accounts that asked most, and the others in one sum.
-func largest(accounts map[fleet.Account]*AccountTally) []AccountTally {
-	all := make([]AccountTally, 0, len(accounts))
+func largest(accounts map[fleet.Account]*AccountCounts) []AccountCounts {
+	all := make([]AccountCounts, 0, len(accounts))
 	for _, account := range accounts {
 		all = append(all, *account)
 	}
-	slices.SortFunc(all, func(a, b AccountTally) int {
-		return cmp.Or(cmp.Compare(b.Asked, a.Asked), cmp.Compare(a.Account, b.Account))
+	slices.SortFunc(all, func(a, b AccountCounts) int {
+		return cmp.Or(cmp.Compare(b.Requested, a.Requested), cmp.Compare(a.Account, b.Account))
 	})
 	if len(all) <= tallyAccounts {
 		return all
 	}
-	rest := AccountTally{Account: otherAccounts}
+	rest := AccountCounts{Account: otherAccounts}
 	for _, account := range all[tallyAccounts:] {
-		rest.Asked += account.Asked
+		rest.Requested += account.Requested
 		rest.Served += account.Served
 	}
 	return append(all[:tallyAccounts], rest)
--- a/internal/losses/report.go
+++ b/internal/losses/report.go
@@ -36,11 +36,11 @@
 	return all
 }
 
-func (c *Counts) add(tally gate.RouteTally) {
+func (c *Counts) add(tally gate.RouteCounts) {
 	c.InTime += tally.InTime
 	c.Late += tally.Late
 	c.Failed += tally.Failed
-	c.Left += tally.Left
+	c.Left += tally.Disconnected
 	for reason, count := range tally.Refused {
 		if c.Refused == nil {
 			c.Refused = make(map[gate.Reason]int)
@@ -97,11 +97,11 @@
 
 // tallyRecord is a record of event.GateTally.
 type tallyRecord struct {
-	Routes   map[string]gate.RouteTally `json:"routes"`
-	Accounts []gate.AccountTally        `json:"accounts"`
-	Capacity float64                    `json:"capacity"`
-	Shortage float64                    `json:"shortage"`
-	Headroom map[string]float64         `json:"headroom"`
+	Routes   map[string]gate.RouteCounts `json:"routes"`
+	Accounts []gate.AccountCounts        `json:"accounts"`
+	Capacity float64                     `json:"capacity"`
+	Shortage float64                     `json:"shortage"`
+	Headroom map[string]float64          `json:"headroom"`
 }
 
 // Take adds a record up. Others than counts are passed over.
@@ -130,14 +130,14 @@
 	}
 	accounts := r.span(record.Time)
 	for _, account := range tally.Accounts {
-		second.Asked += float64(account.Asked)
+		second.Asked += float64(account.Requested)
 		second.Served += float64(account.Served)
 		tokens := accounts[account.Account]
 		if tokens == nil {
 			tokens = &Tokens{}
 			accounts[account.Account] = tokens
 		}
-		tokens.Asked += float64(account.Asked)
+		tokens.Asked += float64(account.Requested)
 		tokens.Served += float64(account.Served)
 	}
 	return nil
--- a/internal/peering/follows.go
+++ b/internal/peering/follows.go
@@ -13,8 +13,8 @@
 // call the store every one and a half seconds at least.
 const contactAge = 2200 * time.Millisecond
 
-// Contact implements gate.Peers.
-func (t *table) Contact() boottime.Instant {
+// StoreContact implements gate.Peers.
+func (t *table) StoreContact() boottime.Instant {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := boottime.Now()
@@ -33,9 +33,9 @@
 // part of the VMs away.
 const followersMost = 5
 
-// Follows tells whether this router is among those that follow the store. Routers that
+// WatchesStore tells whether this router is among those that follow the store. Routers that
 // don't hear each other may differ about it; then more follow.
-func (t *table) Follows() bool { return t.followsAt(boottime.Now()) }
+func (t *table) WatchesStore() bool { return t.followsAt(boottime.Now()) }
 
 func (t *table) followsAt(now boottime.Instant) bool {
 	place, zones := t.place(now)
--- a/internal/peering/operation.go
+++ b/internal/peering/operation.go
@@ -26,7 +26,7 @@
 		ListAge:   age(view.ListConfirmedAt, now),
 		NotReady:  status.NotReady,
 		Running:   uint32(status.Running),
-		Follows:   o.manager.Follows(),
+		Follows:   o.manager.WatchesStore(),
 		Uses:      reportUses(o.manager.local.Usages()),
 		Evacuated: zoneNames(view.Evacuations.Zones),
 		Engines:   reportPaces(status.Engines),
--- a/internal/peering/peering_test.go
+++ b/internal/peering/peering_test.go
@@ -376,14 +376,14 @@
 			for _, told := range alive {
 				hearing.take(beatOf(string(told.self), 1, int64(now)), now)
 			}
-			if hearing.Follows() {
+			if hearing.WatchesStore() {
 				following = append(following, hearing)
 			}
 		}
 		return following
 	}
 	for _, alone := range tables {
-		if !alone.Follows() {
+		if !alone.WatchesStore() {
 			t.Fatal("a router that hears nobody does not follow")
 		}
 	}
--- a/internal/peering/register.go
+++ b/internal/peering/register.go
@@ -102,7 +102,7 @@
 	for address, zone := range zones {
 		m.add(address, zone, now)
 	}
-	if m.Follows() {
+	if m.WatchesStore() {
 		for _, gone := range m.gone(lo.Keys(zones), now) {
 			m.logFailure(ctx, m.options.Directory.Remove(ctx, gone))
 		}
--- a/internal/peering/send.go
+++ b/internal/peering/send.go
@@ -86,7 +86,7 @@
 	roundOthers := round + int(m.hash%uint64(len(targets)))
 	if !m.summing(now) {
 		m.sendBeats(same, common, own, pacesDue, summed{})
-		others = turn(others, roundOthers, m.beatsToOthers(m.Follows()))
+		others = turn(others, roundOthers, m.beatsToOthers(m.WatchesStore()))
 		if round%standbyRounds == 0 {
 			others = lo.Union(others, m.sumSenders())
 		}
