--- a/internal/agent/follow.go
+++ b/internal/agent/follow.go
@@ -50,7 +50,7 @@
 	service := m.options.Config.Backend.Service
 	policy, ok := view.Service(service)
 	if !ok {
-		event.NoSettings.Log(m.options.Logger, logrus.Fields{"service": service, "revision": view.Revision()})
+		event.ServiceNotConfigured.Log(m.options.Logger, logrus.Fields{"service": service, "revision": view.Revision()})
 		m.loop.Send(Settings{View: view})
 		return
 	}
--- a/internal/agent/system_drain.go
+++ b/internal/agent/system_drain.go
@@ -26,10 +26,10 @@
 		return
 	}
 	if !w.leaving() {
-		w.emit(Note{Event: event.AgentTakesWork})
+		w.emit(Note{Event: event.AgentAcceptsWork})
 		return
 	}
-	w.emit(Note{Event: event.AgentLeaving})
+	w.emit(Note{Event: event.AgentDraining})
 	w.grants.Each(func(number uint64, _ *grant) { w.endGrant(number) })
 	w.routers.Each(func(_ fleet.Address, row *router) { w.dropOffers(row) })
 }
--- a/internal/agent/system_expire.go
+++ b/internal/agent/system_expire.go
@@ -51,7 +51,7 @@
 		row.callUntil = now.Add(GrantCallTime)
 		w.planRecall(now, row)
 		if !row.heardAt.After(g.sentAt) {
-			w.emit(Note{Event: event.RouterSilent, Peer: row.address})
+			w.emit(Note{Event: event.GrantLapsed, Peer: row.address})
 			w.forgetOffers(now, row)
 		}
 	})
@@ -116,7 +116,7 @@
 func (w *World) noteHeldFull() {
 	full := !w.heldRoom()
 	if full && !w.heldFull {
-		w.emit(Note{Event: event.HeldFull})
+		w.emit(Note{Event: event.HeldAnswersFull})
 	}
 	w.heldFull = full
 }
--- a/internal/gate/callerleft_test.go
+++ b/internal/gate/callerleft_test.go
@@ -63,8 +63,8 @@
 			awaitCount(t, "arrivals", func() int { return int(g.arrived.Load()) })
 			time.Sleep(50 * time.Millisecond) // until a head that is sent has come
 			conn.Close()
-			awaitCount(t, "records of a caller that left", func() int { return counted(g.records, event.GateCallerGone) })
-			for _, wrong := range []event.Event{event.GateSendFailed, event.GateBrokeOff, event.GateRefused} {
+			awaitCount(t, "records of a caller that left", func() int { return counted(g.records, event.GateCallerDisconnected) })
+			for _, wrong := range []event.Event{event.GateSendFailed, event.GateStreamAborted, event.GateRefused} {
 				if count := counted(g.records, wrong); count != 0 {
 					t.Errorf("%d records of %q", count, wrong.Message)
 				}
@@ -81,7 +81,7 @@
 	if err := g.Drain(context.Background()); err == nil {
 		t.Error("the end tells of no request that was cut")
 	}
-	awaitCount(t, "streams broken off", func() int { return counted(g.records, event.GateBrokeOff) })
+	awaitCount(t, "streams broken off", func() int { return counted(g.records, event.GateStreamAborted) })
 	if count := counted(g.records, event.GateSendFailed); count != 0 {
 		t.Errorf("%d records of a failed server", count)
 	}
--- a/internal/gate/lag.go
+++ b/internal/gate/lag.go
@@ -160,7 +160,7 @@
 // recordRecovery notes that connections are taken again.
 func (m *lagMeter) recordRecovery(turnedAway time.Duration) {
 	m.sheddingSeconds.Add(turnedAway.Seconds())
-	event.GateTurnedAway.Log(m.logger, logrus.Fields{"duration_ms": turnedAway.Milliseconds()})
+	event.GateLoadShed.Log(m.logger, logrus.Fields{"duration_ms": turnedAway.Milliseconds()})
 }
 
 // recovered tells whether requests wait for their turn no more.
--- a/internal/gate/local.go
+++ b/internal/gate/local.go
@@ -87,7 +87,7 @@
 // in progress.
 func (m *Manager) SetDrained(drained bool, operator, reason string) int {
 	m.handler.drainedByOperator.Store(drained)
-	event.GateDrained.Log(m.options.Logger, logrus.Fields{"drained": drained, "operator": operator, "reason": reason})
+	event.GateDrainOrdered.Log(m.options.Logger, logrus.Fields{"drained": drained, "operator": operator, "reason": reason})
 	return m.running()
 }
 
--- a/internal/gate/manager.go
+++ b/internal/gate/manager.go
@@ -116,7 +116,7 @@
 func (m *Manager) apply(before, view *knowledge.View) {
 	if view.Version() != before.Version() {
 		m.acceptor.applyLimits(view.Index.Configuration.Limits)
-		event.GateVersion.Log(m.options.Logger, logrus.Fields{"version": view.Version(), "before": before.Version()})
+		event.GateConfigurationApplied.Log(m.options.Logger, logrus.Fields{"version": view.Version(), "before": before.Version()})
 	}
 	m.logStore(before, view)
 	m.logEvacuations(before, view)
@@ -210,7 +210,7 @@
 	} else {
 		m.options.Readiness.SetNotReady(reason)
 	}
-	event.GateReady.Log(m.options.Logger, logrus.Fields{"ready": reason == "", "reason": reason})
+	event.GateReadinessChanged.Log(m.options.Logger, logrus.Fields{"ready": reason == "", "reason": reason})
 }
 
 // closeReplaced closes the connections to backend servers that have started again
@@ -222,7 +222,7 @@
 			continue
 		}
 		m.handler.pool.Forget(known.Address)
-		event.GateReborn.Log(m.options.Logger, logrus.Fields{"backend": id, "born": backend.StartedAt})
+		event.GateBackendRestarted.Log(m.options.Logger, logrus.Fields{"backend": id, "born": backend.StartedAt})
 	}
 }
 
@@ -248,7 +248,7 @@
 	}
 	m.handler.metrics.evacuated(len(view.Evacuations.Zones))
 	empty := lo.Filter(added, func(zone fleet.Zone, _ int) bool { return !hasBackends(view, zone) })
-	event.GateEvacuated.Log(m.options.Logger, logrus.Fields{
+	event.GateEvacuationsChanged.Log(m.options.Logger, logrus.Fields{
 		"added": added, "taken_back": taken, "without_backends": empty,
 		"era": view.Evacuations.Position.Era, "revision": view.Evacuations.Position.Revision,
 	})
@@ -273,7 +273,7 @@
 	slices.Sort(added)
 	slices.Sort(removed)
 	slices.Sort(leaving)
-	event.GateBackends.Log(m.options.Logger, logrus.Fields{
+	event.GateBackendsChanged.Log(m.options.Logger, logrus.Fields{
 		"added": added, "removed": removed, "leaving": leaving,
 		"era": view.Position.Era, "revision": view.Position.Revision,
 	})
@@ -296,7 +296,7 @@
 	now := boottime.Now()
 	m.handler.drain.start(now, now.Add(left))
 	m.options.Readiness.SetDraining()
-	event.GateReady.Log(m.options.Logger, logrus.Fields{"ready": false})
+	event.GateReadinessChanged.Log(m.options.Logger, logrus.Fields{"ready": false})
 	select {
 	case <-ctx.Done():
 	case <-time.After(min(drainNotice, m.options.Grace/2)):
--- a/internal/gate/records.go
+++ b/internal/gate/records.go
@@ -68,7 +68,7 @@
 			r.tally.write(r.logger, r.inputs())
 		case <-ticker.C:
 			if count := r.dropped.Swap(0); count > 0 {
-				event.GateLeftOut.Log(r.logger, logrus.Fields{"count": count})
+				event.GateRecordsSuppressed.Log(r.logger, logrus.Fields{"count": count})
 			}
 		}
 	}
@@ -160,12 +160,12 @@
 
 // backendDraining writes that a backend server has said for the first time that it leaves.
 func (r *requestLog) backendDraining(backend *knowledge.Backend) {
-	event.GateLeaves.Log(r.logger, logrus.Fields{"backend": backend.ID})
+	event.GateBackendDraining.Log(r.logger, logrus.Fields{"backend": backend.ID})
 }
 
 // backendRejecting writes that a backend server that was open wants nothing for the time.
 func (r *requestLog) backendRejecting(backend *knowledge.Backend, lasts time.Duration) {
-	event.GateCloses.Log(r.logger, logrus.Fields{"backend": backend.ID, "for_ms": lasts.Milliseconds()})
+	event.GateBackendUnavailable.Log(r.logger, logrus.Fields{"backend": backend.ID, "for_ms": lasts.Milliseconds()})
 }
 
 func (r *requestLog) sendFailed(request *Request, backend *knowledge.Backend, err error) {
@@ -174,7 +174,7 @@
 
 // resetsJudged writes what broken connections at a backend server were found to mean.
 func (r *requestLog) resetsJudged(judged judgedResets) {
-	r.write(r.failureLimit, event.GateBreaksJudged, nil, logrus.Fields{
+	r.write(r.failureLimit, event.GateDisconnectsClassified, nil, logrus.Fields{
 		"incarnation": judged.incarnation,
 		"verdict":     judged.verdict,
 		"count":       len(judged.fingerprints),
@@ -186,18 +186,18 @@
 }
 
 func (r *requestLog) failed(request *Request, backend *knowledge.Backend, status int) {
-	r.write(r.failureLimit, event.GateFailed, request, logrus.Fields{"backend": backend.ID, "status": status})
+	r.write(r.failureLimit, event.GateBackendFailed, request, logrus.Fields{"backend": backend.ID, "status": status})
 }
 
 // streamAborted writes that a stream ends early, by the backend server or the end of draining.
 func (r *requestLog) streamAborted(request *Request, sends int, drained bool) {
 	r.tally.answered(request, false, false)
-	r.write(r.failureLimit, event.GateBrokeOff, request, logrus.Fields{"sends": sends, "drained": drained})
+	r.write(r.failureLimit, event.GateStreamAborted, request, logrus.Fields{"sends": sends, "drained": drained})
 }
 
 func (r *requestLog) callerDisconnected(request *Request) {
 	r.tally.ended(request, func(route *RouteCounts) { route.Disconnected++ })
-	r.write(r.answerLimit, event.GateCallerGone, request, logrus.Fields{})
+	r.write(r.answerLimit, event.GateCallerDisconnected, request, logrus.Fields{})
 }
 
 // acceptedDraining writes that a request is taken so long after the signal to stop, on a
@@ -212,12 +212,12 @@
 		fields["connection_age_ms"] = now.Sub(conn.opened).Milliseconds()
 		fields["connection_requests"] = conn.requests.Load()
 	}
-	r.writeFields(event.GateDrainTaken, request, fields)
+	r.writeFields(event.GateAdmittedWhileDraining, request, fields)
 }
 
 // endedDraining writes that so many requests were ended as they were in progress at the end.
 func (r *requestLog) endedDraining(count int) {
-	event.GateDrainEnded.Log(r.logger, logrus.Fields{"count": count})
+	event.GateAbortedByDrain.Log(r.logger, logrus.Fields{"count": count})
 }
 
 func (r *requestLog) answered(request *Request, placed *placement, status, sends int, late bool, err error) {
--- a/internal/gate/tally.go
+++ b/internal/gate/tally.go
@@ -130,7 +130,7 @@
 	}
 	fields["routes"] = routes
 	fields["accounts"] = largest(accounts)
-	event.GateTally.Log(logger, fields)
+	event.GateRequestCounts.Log(logger, fields)
 }
 
 // largest returns the accounts that asked most, and the others in one sum.
--- a/internal/losses/explain.go
+++ b/internal/losses/explain.go
@@ -13,9 +13,9 @@
 
 // beliefs are the records of what a router believes or can reach.
 var beliefs = []event.Event{
-	event.GateVersion, event.GateBackends, event.GateReady, event.GateStoreLost, event.GateStoreBack,
-	event.GatePeerHeard, event.GatePeerLost, event.GatePulled, event.GateReloaded, event.GateDrained,
-	event.GateReborn, event.GateSpoiled,
+	event.GateConfigurationApplied, event.GateBackendsChanged, event.GateReadinessChanged, event.GateStoreUnreachable, event.GateStoreReachable,
+	event.GatePeersReachable, event.GatePeersUnreachable, event.GateStatePulled, event.GateReloaded, event.GateDrainOrdered,
+	event.GateBackendRestarted, event.GateEntryInvalid,
 }
 
 // Path picks one request's records out of a log, with those around them that
--- a/internal/losses/report.go
+++ b/internal/losses/report.go
@@ -106,7 +106,7 @@
 
 // Take adds a record up. Others than counts are passed over.
 func (r *Report) Take(record Record) error {
-	if record.Event != event.GateTally.Number {
+	if record.Event != event.GateRequestCounts.Number {
 		return nil
 	}
 	var tally tallyRecord
--- a/internal/peering/peer_records.go
+++ b/internal/peering/peer_records.go
@@ -50,8 +50,8 @@
 		return
 	}
 	r.next = now.Add(peerRecordInterval)
-	r.record(event.GatePeerHeard, r.heard)
-	r.record(event.GatePeerLost, r.lost)
+	r.record(event.GatePeersReachable, r.heard)
+	r.record(event.GatePeersUnreachable, r.lost)
 	r.heard, r.lost = nil, nil
 }
 
--- a/internal/peering/pull.go
+++ b/internal/peering/pull.go
@@ -119,7 +119,7 @@
 	} else {
 		fields["version"], fields["era"], fields["revision"] = reply.Version, reply.Era, reply.Revision
 	}
-	event.GatePulled.Log(p.logger, fields)
+	event.GateStatePulled.Log(p.logger, fields)
 }
 
 // known returns the position of the list to which changes are asked for.
@@ -195,7 +195,7 @@
 			err = errNotWhole
 		}
 		if err != nil {
-			event.GateSpoiled.Log(p.logger, logrus.Fields{"kind": "peer", "name": backend.ID, "error": err.Error()})
+			event.GateEntryInvalid.Log(p.logger, logrus.Fields{"kind": "peer", "name": backend.ID, "error": err.Error()})
 			continue
 		}
 		backends = append(backends, backend)
--- a/internal/peering/register.go
+++ b/internal/peering/register.go
@@ -117,5 +117,5 @@
 	if err == nil || ctx.Err() != nil {
 		return
 	}
-	event.GateStoreError.Log(m.options.Logger, logrus.Fields{"error": err.Error()})
+	event.GateStoreCallFailed.Log(m.options.Logger, logrus.Fields{"error": err.Error()})
 }
--- a/internal/router/manager.go
+++ b/internal/router/manager.go
@@ -258,10 +258,10 @@
 	case SendRun:
 		go m.data.send(command)
 	case SendResume:
-		event.RouterResumed.Log(m.options.Logger, logrus.Fields{"request": command.Request.ID, "peer": command.Agent, "step": fleet.StepAnswer})
+		event.RouterAnswerResumed.Log(m.options.Logger, logrus.Fields{"request": command.Request.ID, "peer": command.Agent, "step": fleet.StepAnswer})
 		go m.data.resume(command)
 	case SendFence:
-		event.RouterFenced.Log(m.options.Logger, logrus.Fields{"request": command.Attempt.Request, "peer": command.Agent, "step": fleet.StepSend})
+		event.RouterRequestFenced.Log(m.options.Logger, logrus.Fields{"request": command.Attempt.Request, "peer": command.Agent, "step": fleet.StepSend})
 		go m.agents.fence(command)
 	case SendCancel:
 		go m.agents.cancel(command)
@@ -281,7 +281,7 @@
 // finish hands the final result to the caller's side.
 func (m *Manager) finish(command Finish) {
 	if command.Result.Outcome == fleet.OutcomeUnknown {
-		event.RouterUnknown.Log(m.options.Logger, logrus.Fields{
+		event.RouterOutcomeUnknown.Log(m.options.Logger, logrus.Fields{
 			"request": command.Request.ID,
 			"account": command.Request.Account,
 			"service": command.Request.Service,
--- a/internal/spread/shell_execute.go
+++ b/internal/spread/shell_execute.go
@@ -39,7 +39,7 @@
 	case WriteRecord:
 		m.call(func(ctx context.Context) Event { return m.writeRecord(ctx, command) })
 	case RevisionRose:
-		event.RevisionRose.Log(m.options.Logger, logrus.Fields{
+		event.RevisionAdvanced.Log(m.options.Logger, logrus.Fields{
 			"document": command.Document.String(), "revision": command.Revision,
 		})
 		m.notify()
@@ -50,7 +50,7 @@
 		close(m.joined)
 		m.notify()
 	case DeltaRefused:
-		event.DeltaRefused.Log(m.options.Logger, logrus.Fields{
+		event.DeltaRejected.Log(m.options.Logger, logrus.Fields{
 			"document": command.Document.String(), "peer": string(command.From), "error": command.Err.Error(),
 		})
 	}
@@ -138,7 +138,7 @@
 	bounded, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
 	err := command.Write.Apply(bounded, m.platform)
-	event.RecordKept.Log(m.options.Logger, logrus.Fields{
+	event.NodeRecordUpdated.Log(m.options.Logger, logrus.Fields{
 		"node": string(command.Write.Record.Control), "removed": command.Write.Remove, "error": errorText(err),
 	})
 	return nil
