--- a/internal/gate/admission.go
+++ b/internal/gate/admission.go
@@ -77,7 +77,7 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.ledger.Asked(request.Account.Name, request.Prompt.Cost(), boottime.Now())
+	a.ledger.AddRequested(request.Account.Name, request.Prompt.Cost(), boottime.Now())
 }
 
 // owed tells whether the request's account has had less than its share. Requests
@@ -97,7 +97,7 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.ledger.Shut(boottime.Now())
+	a.ledger.PauseCapacityTest(boottime.Now())
 }
 
 // place chooses a backend server for the request and counts the request in
@@ -209,10 +209,10 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if placed.tier == policy.TierIdle {
-		a.ledger.ReturnedIdle(request.Account.Name, request.Prompt.Cost(), boottime.Now())
+		a.ledger.RefundIdle(request.Account.Name, request.Prompt.Cost(), boottime.Now())
 		return
 	}
-	a.ledger.Returned(request.Account.Name, request.Prompt.Cost(), boottime.Now())
+	a.ledger.RefundGranted(request.Account.Name, request.Prompt.Cost(), boottime.Now())
 }
 
 // inputs returns what decisions on requests for models rest on at the moment,
@@ -225,7 +225,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	fields["shortage"] = a.ledger.Shortage()
-	if level := a.ledger.Level(); !math.IsInf(level, 1) {
+	if level := a.ledger.MaxMinShare(); !math.IsInf(level, 1) {
 		fields["share_level"] = level // "level" is the record's own
 	}
 	return fields
--- a/internal/gate/lag_test.go
+++ b/internal/gate/lag_test.go
@@ -139,7 +139,7 @@
 	if !strings.Contains(answer.Body.String(), string(ReasonOverloaded)) {
 		t.Fatalf("answer %s, want a refusal", answer.Body)
 	}
-	if got := manager.Usages()["kitchen"].Asked; got < 99 {
+	if got := manager.Usages()["kitchen"].Requested; got < 99 {
 		t.Errorf("the account asked for %v tokens, want nearly 100", got)
 	}
 }
--- a/internal/gate/local.go
+++ b/internal/gate/local.go
@@ -12,7 +12,7 @@
 )
 
 // Usages returns what each account asked and got here.
-func (m *Manager) Usages() map[fleet.Account]shares.Use {
+func (m *Manager) Usages() map[fleet.Account]shares.Usage {
 	a := m.handler.admission
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -41,7 +41,7 @@
 func (m *Manager) TakeCrashFingerprints() []uint64 { return m.handler.suspects.takeUnreported() }
 
 // SetUsages takes the uses of another router.
-func (m *Manager) SetUsages(router fleet.Address, uses map[fleet.Account]shares.Use) {
+func (m *Manager) SetUsages(router fleet.Address, uses map[fleet.Account]shares.Usage) {
 	a := m.handler.admission
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/gate/place_bench_test.go
+++ b/internal/gate/place_bench_test.go
@@ -45,9 +45,9 @@
 	settings := newCurrentSettings(Settings{Admission: policy.Defaults()})
 	a := newAdmission(settings, zones[0], fleetOf(routers))
 	for router := range routers - 1 {
-		uses := make(map[fleet.Account]shares.Use)
+		uses := make(map[fleet.Account]shares.Usage)
 		for i := range min(accounts, 40) {
-			uses[fleet.Account(fmt.Sprint("account", (router*7+i)%accounts))] = shares.Use{Asked: 5000, Got: 3000}
+			uses[fleet.Account(fmt.Sprint("account", (router*7+i)%accounts))] = shares.Usage{Requested: 5000, Granted: 3000}
 		}
 		a.ledger.SetOther(fmt.Sprint("10.0.1.", router), uses, boottime.Now())
 	}
--- a/internal/gate/place_model.go
+++ b/internal/gate/place_model.go
@@ -170,10 +170,10 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.ledger.Observe = a.policy().ObservedCapacity
+	a.ledger.ObserveCapacity = a.policy().ObservedCapacity
 	return policy.AccountUsage{
-		ShareUsed:     a.ledger.Standing(request.Account.Name, request.Prompt.Cost(), capacity, now),
-		EvenShareUsed: a.ledger.Whole(request.Account.Name, request.Prompt.Cost(), now),
+		ShareUsed:     a.ledger.ShareUsed(request.Account.Name, request.Prompt.Cost(), capacity, now),
+		EvenShareUsed: a.ledger.EvenShareUsed(request.Account.Name, request.Prompt.Cost(), now),
 		Shortage:      a.ledger.Shortage(),
 	}
 }
@@ -204,10 +204,10 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if placed.tier == policy.TierIdle {
-		a.ledger.GotIdle(request.Account.Name, request.Prompt.Cost(), now)
+		a.ledger.AddIdle(request.Account.Name, request.Prompt.Cost(), now)
 		return
 	}
-	a.ledger.Got(request.Account.Name, request.Prompt.Cost(), now)
+	a.ledger.AddGranted(request.Account.Name, request.Prompt.Cost(), now)
 }
 
 func (a *admission) demand(request *Request, bounds policy.Bounds) selection.Demand {
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -120,7 +120,7 @@
 
 func newRouter(engines int, settings policy.Settings) *router {
 	ledger := shares.NewLedger()
-	ledger.Observe = settings.ObservedCapacity
+	ledger.ObserveCapacity = settings.ObservedCapacity
 	return &router{ledger: ledger, own: make([]load, engines), others: make([]load, engines), told: make([]load, engines)}
 }
 
@@ -156,7 +156,7 @@
 // decide places a caller's request or refuses it, as a router does.
 func (r *fleetRun) decide(c *caller) {
 	router := r.routers[r.routerOf(c)]
-	router.ledger.Asked(c.account, c.cost, r.now)
+	router.ledger.AddRequested(c.account, c.cost, r.now)
 	facts := policy.ModelRequest{
 		Usage:          r.standing(router, c),
 		Target:         c.kind.Target,
@@ -182,17 +182,17 @@
 		return
 	}
 	if tier == policy.TierIdle {
-		router.ledger.GotIdle(c.account, c.cost, r.now)
+		router.ledger.AddIdle(c.account, c.cost, r.now)
 	} else {
-		router.ledger.Got(c.account, c.cost, r.now)
+		router.ledger.AddGranted(c.account, c.cost, r.now)
 	}
 	r.send(c, router, ranked[choice.Place], load{running: 1, pending: choice.PromptTokens, memory: float64(c.kind.Shared) + c.own + float64(c.kind.Output)})
 }
 
 func (r *fleetRun) standing(router *router, c *caller) policy.AccountUsage {
 	return policy.AccountUsage{
-		ShareUsed:     router.ledger.Standing(c.account, c.cost, r.deployment.Stated, r.now),
-		EvenShareUsed: router.ledger.Whole(c.account, c.cost, r.now),
+		ShareUsed:     router.ledger.ShareUsed(c.account, c.cost, r.deployment.Stated, r.now),
+		EvenShareUsed: router.ledger.EvenShareUsed(c.account, c.cost, r.now),
 		Shortage:      router.ledger.Shortage(),
 	}
 }
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -61,7 +61,7 @@
 		asked = append(asked, account.asked)
 	}
 	divided := min(r.capacity, r.TokensInTime)
-	level := shares.WaterLevel(asked, divided)
+	level := shares.MaxMinShare(asked, divided)
 	r.Worst = 1
 	for _, account := range r.accounts {
 		owed := min(account.asked, level)
--- a/internal/losses/report.go
+++ b/internal/losses/report.go
@@ -168,7 +168,7 @@
 		for _, tokens := range accounts {
 			asked = append(asked, tokens.Asked)
 		}
-		level := shares.WaterLevel(asked, r.Capacity*span)
+		level := shares.MaxMinShare(asked, r.Capacity*span)
 		for name, tokens := range accounts {
 			owed := min(tokens.Asked, level)
 			whole := r.Accounts[name]
--- a/internal/peering/control_bench_test.go
+++ b/internal/peering/control_bench_test.go
@@ -20,25 +20,25 @@
 type busyLocal struct {
 	Local
 	loads map[uint32]gate.BackendLoad
-	uses  map[fleet.Account]shares.Use
+	uses  map[fleet.Account]shares.Usage
 	paces func() map[uint32]pace.Observation // nil if no paces are known
 }
 
 func newBusyLocal(requests, engines, accounts int) *busyLocal {
-	local := &busyLocal{loads: make(map[uint32]gate.BackendLoad), uses: make(map[fleet.Account]shares.Use)}
+	local := &busyLocal{loads: make(map[uint32]gate.BackendLoad), uses: make(map[fleet.Account]shares.Usage)}
 	for range requests {
 		local.loads[uint32(rand.IntN(engines))*2654435761] = gate.BackendLoad{Running: 1, Pending: 4000, Memory: 9000}
-		local.uses[fleet.Account(fmt.Sprint("account-", rand.IntN(accounts)))] = shares.Use{Asked: 12_000, Got: 12_000}
+		local.uses[fleet.Account(fmt.Sprint("account-", rand.IntN(accounts)))] = shares.Usage{Requested: 12_000, Granted: 12_000}
 	}
 	return local
 }
 
-func (l *busyLocal) Loads() map[uint32]gate.BackendLoad                    { return l.loads }
-func (l *busyLocal) Usages() map[fleet.Account]shares.Use                  { return l.uses }
-func (l *busyLocal) TakeCrashFingerprints() []uint64                       { return nil }
-func (l *busyLocal) ReceiveCrashFingerprint(fleet.Address, uint64)         {}
-func (l *busyLocal) SetUsages(fleet.Address, map[fleet.Account]shares.Use) {}
-func (l *busyLocal) RemoveUsages(fleet.Address)                            {}
+func (l *busyLocal) Loads() map[uint32]gate.BackendLoad                      { return l.loads }
+func (l *busyLocal) Usages() map[fleet.Account]shares.Usage                  { return l.uses }
+func (l *busyLocal) TakeCrashFingerprints() []uint64                         { return nil }
+func (l *busyLocal) ReceiveCrashFingerprint(fleet.Address, uint64)           {}
+func (l *busyLocal) SetUsages(fleet.Address, map[fleet.Account]shares.Usage) {}
+func (l *busyLocal) RemoveUsages(fleet.Address)                              {}
 
 func (l *busyLocal) Paces() map[uint32]pace.Observation {
 	if l.paces == nil {
--- a/internal/peering/encode.go
+++ b/internal/peering/encode.go
@@ -43,36 +43,36 @@
 	return loads
 }
 
-func encodeUses(uses map[fleet.Account]shares.Use) *peeringpb.AccountUses {
+func encodeUses(uses map[fleet.Account]shares.Usage) *peeringpb.AccountUses {
 	encoded := &peeringpb.AccountUses{}
 	for account, use := range uses {
 		encoded.Account = append(encoded.Account, string(account))
-		encoded.Asked = append(encoded.Asked, uint64(max(use.Asked, 0)))
-		encoded.Got = append(encoded.Got, uint64(max(use.Got, 0)))
+		encoded.Asked = append(encoded.Asked, uint64(max(use.Requested, 0)))
+		encoded.Got = append(encoded.Got, uint64(max(use.Granted, 0)))
 		encoded.Idle = append(encoded.Idle, uint64(max(use.Idle, 0)))
 	}
 	return encoded
 }
 
 // decodeUses reads as many entries as all lists have.
-func decodeUses(encoded *peeringpb.AccountUses) map[fleet.Account]shares.Use {
+func decodeUses(encoded *peeringpb.AccountUses) map[fleet.Account]shares.Usage {
 	count := min(len(encoded.GetAccount()), len(encoded.GetAsked()), len(encoded.GetGot()), len(encoded.GetIdle()))
-	uses := make(map[fleet.Account]shares.Use, count)
+	uses := make(map[fleet.Account]shares.Usage, count)
 	for i := range count {
-		uses[fleet.Account(encoded.Account[i])] = shares.Use{
-			Asked: float64(encoded.Asked[i]),
-			Got:   float64(encoded.Got[i]),
-			Idle:  float64(encoded.Idle[i]),
+		uses[fleet.Account(encoded.Account[i])] = shares.Usage{
+			Requested: float64(encoded.Asked[i]),
+			Granted:   float64(encoded.Got[i]),
+			Idle:      float64(encoded.Idle[i]),
 		}
 	}
 	return uses
 }
 
 // reportUses tells operators what accounts asked and got.
-func reportUses(uses map[fleet.Account]shares.Use) []*peeringpb.AccountUse {
+func reportUses(uses map[fleet.Account]shares.Usage) []*peeringpb.AccountUse {
 	report := make([]*peeringpb.AccountUse, 0, len(uses))
 	for account, use := range uses {
-		report = append(report, &peeringpb.AccountUse{Account: string(account), Asked: float32(use.Asked), Got: float32(use.Got)})
+		report = append(report, &peeringpb.AccountUse{Account: string(account), Asked: float32(use.Requested), Got: float32(use.Granted)})
 	}
 	return report
 }
--- a/internal/peering/manager.go
+++ b/internal/peering/manager.go
@@ -33,7 +33,7 @@
 // Local is the router's own part in what beats carry.
 type Local interface {
 	// Usages returns what each account asked and got here.
-	Usages() map[fleet.Account]shares.Use
+	Usages() map[fleet.Account]shares.Usage
 	// Loads returns what runs at backend servers, by their incarnations' hashes.
 	Loads() map[uint32]gate.BackendLoad
 	// Paces returns what this router has seen of how fast backend servers work, by their
@@ -43,7 +43,7 @@
 	// the last call, to have run at a backend server that went down.
 	TakeCrashFingerprints() []uint64
 	// SetUsages takes the uses of another router.
-	SetUsages(router fleet.Address, uses map[fleet.Account]shares.Use)
+	SetUsages(router fleet.Address, uses map[fleet.Account]shares.Usage)
 	// RemoveUsages forgets a router that is no longer heard.
 	RemoveUsages(router fleet.Address)
 	// ReceiveCrashFingerprint takes a fingerprint from another router. It may come more
--- a/internal/peering/peering_test.go
+++ b/internal/peering/peering_test.go
@@ -49,7 +49,7 @@
 func TestLoadsAndUsesArrive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		loads := make(map[uint32]gate.BackendLoad)
-		uses := make(map[fleet.Account]shares.Use)
+		uses := make(map[fleet.Account]shares.Usage)
 		for range rapid.IntRange(0, 9).Draw(t, "count") {
 			loads[rapid.Uint32().Draw(t, "backend")] = gate.BackendLoad{
 				Running: rapid.IntRange(0, 1000).Draw(t, "running"),
@@ -57,7 +57,7 @@
 				Memory:  rapid.Float64Range(0, 1e6).Draw(t, "memory"),
 			}
 			account := fleet.Account(rapid.StringMatching("[a-z]{1,6}").Draw(t, "account"))
-			uses[account] = shares.Use{Asked: rapid.Float64Range(0, 1e7).Draw(t, "asked"), Got: rapid.Float64Range(0, 1e7).Draw(t, "got"), Idle: rapid.Float64Range(0, 1e7).Draw(t, "idle")}
+			uses[account] = shares.Usage{Requested: rapid.Float64Range(0, 1e7).Draw(t, "asked"), Granted: rapid.Float64Range(0, 1e7).Draw(t, "got"), Idle: rapid.Float64Range(0, 1e7).Draw(t, "idle")}
 		}
 		arrived := decodeLoads(encodeLoads(loads))
 		for backend, load := range loads {
@@ -67,7 +67,7 @@
 			}
 		}
 		for account, use := range uses {
-			if got := decodeUses(encodeUses(uses))[account]; use.Asked-got.Asked >= 1 || use.Got-got.Got >= 1 || use.Idle-got.Idle >= 1 {
+			if got := decodeUses(encodeUses(uses))[account]; use.Requested-got.Requested >= 1 || use.Granted-got.Granted >= 1 || use.Idle-got.Idle >= 1 {
 				t.Fatalf("%+v arrives as %+v", use, got)
 			}
 		}
@@ -93,13 +93,13 @@
 // carries, makes 845 into 1,378, and five slowed ones add 44.
 func BenchmarkBeatBytes(b *testing.B) {
 	loads := make(map[uint32]gate.BackendLoad)
-	uses := make(map[fleet.Account]shares.Use)
+	uses := make(map[fleet.Account]shares.Usage)
 	echoes := &peeringpb.Echoes{}
 	for i := range 45 {
 		loads[knowledge.IncarnationHash(fmt.Sprint("i-", i))] = gate.BackendLoad{Running: 3, Pending: 5000, Memory: 30_000}
 	}
 	for i := range 16 {
-		uses[fleet.Account(fmt.Sprint("acct", i))] = shares.Use{Asked: 40_000, Got: 20_000}
+		uses[fleet.Account(fmt.Sprint("acct", i))] = shares.Usage{Requested: 40_000, Granted: 20_000}
 	}
 	for i := range 10 {
 		echoes.Router, echoes.Clock = append(echoes.Router, uint64(i)<<40), append(echoes.Clock, int64(boottime.Now()))
--- a/internal/peering/sum_changes.go
+++ b/internal/peering/sum_changes.go
@@ -58,7 +58,7 @@
 	number  uint32
 	since   boottime.Instant // when it was told first, with its number
 	changed boottime.Instant
-	use     shares.Use
+	use     shares.Usage
 }
 
 // sumLog remembers when which part of the sums that this router tells has changed.
@@ -107,7 +107,7 @@
 	}
 }
 
-func (l *sumLog) updateUses(uses map[fleet.Account]shares.Use, now boottime.Instant) {
+func (l *sumLog) updateUses(uses map[fleet.Account]shares.Usage, now boottime.Instant) {
 	for account := range uses {
 		if l.useOf[account] == nil {
 			entry := &useEntry{account: account, number: uint32(len(l.uses))}
@@ -132,13 +132,13 @@
 }
 
 // at returns the use as a receiver that was told it takes it to be at the moment.
-func (e *useEntry) at(now boottime.Instant) shares.Use { return e.use.After(now.Sub(e.changed)) }
+func (e *useEntry) at(now boottime.Instant) shares.Usage { return e.use.Decayed(now.Sub(e.changed)) }
 
 // meanGot returns what accounts got in the mean.
-func meanGot(uses map[fleet.Account]shares.Use) float64 {
+func meanGot(uses map[fleet.Account]shares.Usage) float64 {
 	got := 0.0
 	for _, use := range uses {
-		got += use.Got + use.Idle
+		got += use.Granted + use.Idle
 	}
 	return got / float64(max(len(uses), 1))
 }
@@ -152,9 +152,9 @@
 }
 
 // closeUses tells whether a use need not be told anew.
-func closeUses(told, is shares.Use, mean float64) bool {
+func closeUses(told, is shares.Usage, mean float64) bool {
 	isClose := func(told, is float64) bool { return math.Abs(told-is) <= useTolerance*(mean+is) }
-	return isClose(told.Asked, is.Asked) && isClose(told.Got, is.Got) && isClose(told.Idle, is.Idle)
+	return isClose(told.Requested, is.Requested) && isClose(told.Granted, is.Granted) && isClose(told.Idle, is.Idle)
 }
 
 // base returns the clock from which a receiver that holds sums up to a clock can be told
@@ -205,8 +205,8 @@
 		changes.UseStep = append(changes.UseStep, entry.number-before)
 		before = entry.number
 		use := entry.at(l.last)
-		changes.Asked = append(changes.Asked, useUnits(use.Asked))
-		changes.Got = append(changes.Got, useUnits(use.Got))
+		changes.Asked = append(changes.Asked, useUnits(use.Requested))
+		changes.Got = append(changes.Got, useUnits(use.Granted))
 		changes.Idle = append(changes.Idle, useUnits(use.Idle))
 	}
 }
@@ -260,9 +260,9 @@
 // decayUses lets the time pass, and forgets uses of which nothing is left.
 func (s *sums) decayUses(passed time.Duration) {
 	for account, use := range s.uses {
-		use = use.After(passed)
+		use = use.Decayed(passed)
 		s.uses[account] = use
-		if use.Asked+use.Got+use.Idle < leastUse {
+		if use.Requested+use.Granted+use.Idle < leastUse {
 			delete(s.uses, account)
 		}
 	}
@@ -277,10 +277,10 @@
 			s.clock = 0
 			continue
 		}
-		s.uses[account] = shares.Use{
-			Asked: float64(changes.Asked[i]) * useUnit,
-			Got:   float64(changes.Got[i]) * useUnit,
-			Idle:  float64(changes.Idle[i]) * useUnit,
+		s.uses[account] = shares.Usage{
+			Requested: float64(changes.Asked[i]) * useUnit,
+			Granted:   float64(changes.Got[i]) * useUnit,
+			Idle:      float64(changes.Idle[i]) * useUnit,
 		}
 	}
 }
--- a/internal/peering/sum_changes_test.go
+++ b/internal/peering/sum_changes_test.go
@@ -34,7 +34,7 @@
 func (s *sumSender) change(t *rapid.T, now boottime.Instant) {
 	passed := now.Sub(s.total.at)
 	for account, use := range s.total.uses {
-		s.total.uses[account] = use.After(passed)
+		s.total.uses[account] = use.Decayed(passed)
 	}
 	s.total.at = now
 	for range rapid.IntRange(0, 4).Draw(t, "changes") {
@@ -49,7 +49,7 @@
 		}
 		account := fleet.Account(fmt.Sprint("account-", rapid.IntRange(0, 9).Draw(t, "account")))
 		tokens := rapid.Float64Range(0, 50_000).Draw(t, "tokens")
-		s.total.uses[account] = s.total.uses[account].Add(shares.Use{Asked: 2 * tokens, Got: tokens, Idle: tokens / 3})
+		s.total.uses[account] = s.total.uses[account].Add(shares.Usage{Requested: 2 * tokens, Granted: tokens, Idle: tokens / 3})
 		if rapid.IntRange(0, 9).Draw(t, "forgotten") == 0 {
 			delete(s.total.uses, account)
 		}
@@ -90,9 +90,9 @@
 	passed := now.Sub(held.at)
 	for i := range 10 {
 		account := fleet.Account(fmt.Sprint("account-", i))
-		is, got := sender.total.uses[account], held.uses[account].After(passed)
+		is, got := sender.total.uses[account], held.uses[account].Decayed(passed)
 		isClose := func(got, is float64) bool { return math.Abs(got-is) <= useTolerance*(mean+is)+useUnit }
-		if !isClose(got.Asked, is.Asked) || !isClose(got.Got, is.Got) || !isClose(got.Idle, is.Idle) {
+		if !isClose(got.Requested, is.Requested) || !isClose(got.Granted, is.Granted) || !isClose(got.Idle, is.Idle) {
 			t.Fatalf("%s has %+v of %s, %+v is known", sender.self, is, account, got)
 		}
 	}
@@ -191,7 +191,7 @@
 		total := newUse(now)
 		for j := range perRound {
 			if i%3 != 0 {
-				total.uses[fleet.Account(fmt.Sprint(i, j))] = shares.Use{Asked: 1000, Got: 1000}
+				total.uses[fleet.Account(fmt.Sprint(i, j))] = shares.Usage{Requested: 1000, Granted: 1000}
 			}
 		}
 		began := log.began
--- a/internal/peering/sums.go
+++ b/internal/peering/sums.go
@@ -54,7 +54,7 @@
 // and got of them, as of the moment.
 type use struct {
 	loads map[uint32]gate.BackendLoad
-	uses  map[fleet.Account]shares.Use
+	uses  map[fleet.Account]shares.Usage
 	paces paces
 	at    boottime.Instant
 }
@@ -67,7 +67,7 @@
 	}
 	passed := now.Sub(other.at)
 	for account, told := range other.uses {
-		u.uses[account] = u.uses[account].Add(told.After(passed))
+		u.uses[account] = u.uses[account].Add(told.Decayed(passed))
 	}
 	u.paces.add(other.paces, now, usual)
 }
@@ -75,7 +75,7 @@
 func newUse(now boottime.Instant) use {
 	return use{
 		loads: make(map[uint32]gate.BackendLoad),
-		uses:  make(map[fleet.Account]shares.Use),
+		uses:  make(map[fleet.Account]shares.Usage),
 		paces: newPaces(now),
 		at:    now,
 	}
@@ -165,7 +165,7 @@
 
 // refreshOthers recomputes what other zones use and returns the uses of their
 // accounts.
-func (t *table) refreshOthers(now boottime.Instant) map[fleet.Account]shares.Use {
+func (t *table) refreshOthers(now boottime.Instant) map[fleet.Account]shares.Usage {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	usual := now.Sub(t.otherPaces.at) >= usualInterval
@@ -186,7 +186,7 @@
 }
 
 // uses returns what a router told last of its accounts. It must not be changed.
-func (t *table) uses(router fleet.Address) map[fleet.Account]shares.Use {
+func (t *table) uses(router fleet.Address) map[fleet.Account]shares.Usage {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if peer := t.peers[router]; peer != nil {
--- a/internal/peering/sums_test.go
+++ b/internal/peering/sums_test.go
@@ -34,15 +34,15 @@
 	paces   map[uint32]pace.Observation
 	broken  []uint64 // fingerprints to be told
 	told    []uint64 // fingerprints heard
-	heard   map[fleet.Address]map[fleet.Account]shares.Use
+	heard   map[fleet.Address]map[fleet.Account]shares.Usage
 }
 
 func (l *fakeLocal) Loads() map[uint32]gate.BackendLoad {
 	return map[uint32]gate.BackendLoad{theEngine: {Running: l.running}}
 }
 
-func (l *fakeLocal) Usages() map[fleet.Account]shares.Use {
-	return map[fleet.Account]shares.Use{"a": {Asked: float64(1000 * l.running)}}
+func (l *fakeLocal) Usages() map[fleet.Account]shares.Usage {
+	return map[fleet.Account]shares.Usage{"a": {Requested: float64(1000 * l.running)}}
 }
 
 func (l *fakeLocal) Paces() map[uint32]pace.Observation { return l.paces }
@@ -57,7 +57,7 @@
 	l.told = append(l.told, fingerprint)
 }
 
-func (l *fakeLocal) SetUsages(router fleet.Address, uses map[fleet.Account]shares.Use) {
+func (l *fakeLocal) SetUsages(router fleet.Address, uses map[fleet.Account]shares.Usage) {
 	l.heard[router] = uses
 }
 func (l *fakeLocal) RemoveUsages(router fleet.Address) { delete(l.heard, router) }
@@ -66,7 +66,7 @@
 func (l *fakeLocal) asked() float64 {
 	sum := 0.0
 	for _, uses := range l.heard {
-		sum += uses["a"].Asked
+		sum += uses["a"].Requested
 	}
 	return sum
 }
@@ -105,7 +105,7 @@
 			State:   knowledge.NewState(),
 			Logger:  logger,
 		})
-		local := &fakeLocal{running: i + 1, heard: make(map[fleet.Address]map[fleet.Account]shares.Use)}
+		local := &fakeLocal{running: i + 1, heard: make(map[fleet.Address]map[fleet.Account]shares.Usage)}
 		manager.SetLocal(local)
 		manager.network = &link{fabric: f, from: manager}
 		f.routers[address], f.locals[address] = manager, local
--- a/internal/peering/traffic_bench_test.go
+++ b/internal/peering/traffic_bench_test.go
@@ -70,11 +70,11 @@
 	*busyLocal
 	fabric *fabric
 	ledger *shares.Ledger
-	heard  map[fleet.Address]map[fleet.Account]shares.Use
+	heard  map[fleet.Address]map[fleet.Account]shares.Usage
 }
 
-func (l *calledLocal) Usages() map[fleet.Account]shares.Use { return l.ledger.Own(l.fabric.now) }
-func (l *calledLocal) SetUsages(router fleet.Address, uses map[fleet.Account]shares.Use) {
+func (l *calledLocal) Usages() map[fleet.Account]shares.Usage { return l.ledger.Own(l.fabric.now) }
+func (l *calledLocal) SetUsages(router fleet.Address, uses map[fleet.Account]shares.Usage) {
 	if router == elsewhere {
 		l.heard[router] = uses
 	}
@@ -87,7 +87,7 @@
 			busyLocal: newBusyLocal(0, 1, 1),
 			fabric:    f,
 			ledger:    shares.NewLedger(),
-			heard:     make(map[fleet.Address]map[fleet.Account]shares.Use),
+			heard:     make(map[fleet.Address]map[fleet.Account]shares.Usage),
 		}
 		f.routers[address].SetLocal(local)
 		c.locals = append(c.locals, local)
@@ -114,10 +114,10 @@
 	request.ends = request.read.Add(time.Duration(-math.Log(1-c.random.Float64()) * float64(answerTime)))
 	account, backlogged := c.account()
 	tokens := request.prompt + answerTokens
-	local.ledger.Asked(account, tokens, now)
-	local.ledger.Got(account, tokens, now)
+	local.ledger.AddRequested(account, tokens, now)
+	local.ledger.AddGranted(account, tokens, now)
 	if backlogged {
-		local.ledger.Asked(account, refusedRequests*tokens, now)
+		local.ledger.AddRequested(account, refusedRequests*tokens, now)
 	}
 	local.add(engine, gate.BackendLoad{Running: 1, Pending: request.prompt, Memory: tokens})
 	c.pending = append(c.pending, request)
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -109,9 +109,9 @@
 			if ask == 10 {
 				account = "middling" // asks for 2,000 a second
 			}
-			ledger.Asked(account, tokens, now)
-			f := facts(ledger.Standing(account, tokens, stated, now))
-			f.Usage.EvenShareUsed = ledger.Whole(account, tokens, now)
+			ledger.AddRequested(account, tokens, now)
+			f := facts(ledger.ShareUsed(account, tokens, stated, now))
+			f.Usage.EvenShareUsed = ledger.EvenShareUsed(account, tokens, now)
 			tier := s.Tier(f, 1)
 			bounds := s.Bounds(tier, f)
 			counted := pending
@@ -123,9 +123,9 @@
 			}
 			pending += tokens
 			if tier == TierIdle {
-				ledger.GotIdle(account, tokens, now)
+				ledger.AddIdle(account, tokens, now)
 			} else {
-				ledger.Got(account, tokens, now)
+				ledger.AddGranted(account, tokens, now)
 			}
 			if round > 200 {
 				got[account] += tokens
--- a/internal/shares/shares.go
+++ b/internal/shares/shares.go
@@ -14,23 +14,23 @@
 	"github.com/bluebellchute/bluebellchute/internal/fleet"
 )
 
-// Use is what an account asked and got, in tokens.
-type Use struct {
-	Asked float64
-	Got   float64 // what counts against its share
+// Usage is what an account asked and got, in tokens.
+type Usage struct {
+	Requested float64
+	Granted   float64 // what counts against its share
 	// Idle is what it got beyond that from engines that would have stood idle.
 	Idle float64
 }
 
 // Add returns the sum of two uses.
-func (u Use) Add(other Use) Use {
-	return Use{Asked: u.Asked + other.Asked, Got: u.Got + other.Got, Idle: u.Idle + other.Idle}
+func (u Usage) Add(other Usage) Usage {
+	return Usage{Requested: u.Requested + other.Requested, Granted: u.Granted + other.Granted, Idle: u.Idle + other.Idle}
 }
 
-// After returns what is left of the use when the time has passed.
-func (u Use) After(passed time.Duration) Use {
+// Decayed returns what is left of the use when the time has passed.
+func (u Usage) Decayed(passed time.Duration) Usage {
 	factor := decayFactor(passed)
-	return Use{Asked: u.Asked * factor, Got: u.Got * factor, Idle: u.Idle * factor}
+	return Usage{Requested: u.Requested * factor, Granted: u.Granted * factor, Idle: u.Idle * factor}
 }
 
 // memory is the time constant of the decay. It is shorter than the users'
@@ -39,12 +39,12 @@
 
 // sum is a decaying sum.
 type sum struct {
-	use Use
+	use Usage
 	at  boottime.Instant
 }
 
 func (s *sum) decay(now boottime.Instant) {
-	s.use = s.use.After(now.Sub(s.at))
+	s.use = s.use.Decayed(now.Sub(s.at))
 	s.at = now
 }
 
@@ -54,7 +54,7 @@
 
 // told are the sums of another router as they were at the moment.
 type told struct {
-	uses map[fleet.Account]Use
+	uses map[fleet.Account]Usage
 	at   boottime.Instant
 }
 
@@ -69,7 +69,7 @@
 
 	// rest are the sums of the other routers together as of restAt, so that a
 	// request does not add up hundreds of routers.
-	rest   map[fleet.Account]Use
+	rest   map[fleet.Account]Usage
 	restAt boottime.Instant
 
 	level    float64
@@ -78,9 +78,9 @@
 	levelAt  boottime.Instant
 	tested   exposure
 
-	// Observe tells to divide what the engines take when that is less than the
+	// ObserveCapacity tells to divide what the engines take when that is less than the
 	// stated capacity.
-	Observe bool
+	ObserveCapacity bool
 }
 
 // NewLedger returns an empty ledger.
@@ -88,39 +88,39 @@
 	return &Ledger{
 		own:    make(map[fleet.Account]*sum),
 		others: make(map[string]told),
-		rest:   make(map[fleet.Account]Use),
+		rest:   make(map[fleet.Account]Usage),
 	}
 }
 
-// Asked counts a request that a caller of the account made.
-func (l *Ledger) Asked(account fleet.Account, tokens float64, now boottime.Instant) {
-	l.at(account, now).use.Asked += tokens
+// Requested counts a request that a caller of the account made.
+func (l *Ledger) AddRequested(account fleet.Account, tokens float64, now boottime.Instant) {
+	l.at(account, now).use.Requested += tokens
 }
 
-// Shut notes that callers are turned away for another reason than what engines
+// PauseCapacityTest notes that callers are turned away for another reason than what engines
 // can do.
-func (l *Ledger) Shut(now boottime.Instant) { l.tested.note(false, now) }
+func (l *Ledger) PauseCapacityTest(now boottime.Instant) { l.tested.note(false, now) }
 
-// Got counts a request that was sent to a backend server.
-func (l *Ledger) Got(account fleet.Account, tokens float64, now boottime.Instant) {
-	l.at(account, now).use.Got += tokens
+// Granted counts a request that was sent to a backend server.
+func (l *Ledger) AddGranted(account fleet.Account, tokens float64, now boottime.Instant) {
+	l.at(account, now).use.Granted += tokens
 }
 
-// GotIdle counts a request that took what would have stood idle.
-func (l *Ledger) GotIdle(account fleet.Account, tokens float64, now boottime.Instant) {
+// AddIdle counts a request that took what would have stood idle.
+func (l *Ledger) AddIdle(account fleet.Account, tokens float64, now boottime.Instant) {
 	l.at(account, now).use.Idle += tokens
 }
 
-// ReturnedIdle takes such a request back that was not run.
-func (l *Ledger) ReturnedIdle(account fleet.Account, tokens float64, now boottime.Instant) {
+// RefundIdle takes such a request back that was not run.
+func (l *Ledger) RefundIdle(account fleet.Account, tokens float64, now boottime.Instant) {
 	entry := l.at(account, now)
 	entry.use.Idle = max(0, entry.use.Idle-tokens)
 }
 
-// Returned takes back a request that was not run.
-func (l *Ledger) Returned(account fleet.Account, tokens float64, now boottime.Instant) {
+// RefundGranted takes back a request that was not run.
+func (l *Ledger) RefundGranted(account fleet.Account, tokens float64, now boottime.Instant) {
 	entry := l.at(account, now)
-	entry.use.Got = max(0, entry.use.Got-tokens)
+	entry.use.Granted = max(0, entry.use.Granted-tokens)
 }
 
 func (l *Ledger) at(account fleet.Account, now boottime.Instant) *sum {
@@ -134,11 +134,11 @@
 }
 
 // Own returns this router's sums for the others.
-func (l *Ledger) Own(now boottime.Instant) map[fleet.Account]Use {
-	uses := make(map[fleet.Account]Use, len(l.own))
+func (l *Ledger) Own(now boottime.Instant) map[fleet.Account]Usage {
+	uses := make(map[fleet.Account]Usage, len(l.own))
 	for account, entry := range l.own {
 		entry.decay(now)
-		if entry.use.Asked+entry.use.Got+entry.use.Idle < forgotten {
+		if entry.use.Requested+entry.use.Granted+entry.use.Idle < forgotten {
 			delete(l.own, account)
 			continue
 		}
@@ -149,7 +149,7 @@
 
 // SetOther takes the sums of another router as they were at the moment. They
 // must not change any more.
-func (l *Ledger) SetOther(router string, uses map[fleet.Account]Use, at boottime.Instant) {
+func (l *Ledger) SetOther(router string, uses map[fleet.Account]Usage, at boottime.Instant) {
 	l.others[router] = told{uses: uses, at: at}
 }
 
@@ -160,10 +160,10 @@
 // sums of the accounts as they are.
 const levelLife = 50 * time.Millisecond
 
-// Standing returns how much of its share the account will have got with the
+// ShareUsed returns how much of its share the account will have got with the
 // tokens, when the fleet has capacity tokens a second for all accounts: up to 1
 // it stays within its share. It is 0 while nobody has to share.
-func (l *Ledger) Standing(account fleet.Account, tokens, capacity float64, now boottime.Instant) float64 {
+func (l *Ledger) ShareUsed(account fleet.Account, tokens, capacity float64, now boottime.Instant) float64 {
 	if capacity <= 0 {
 		return 0
 	}
@@ -171,25 +171,25 @@
 		l.computeLevel(capacity, now)
 		l.levelAt = now
 	}
-	return (l.total(account, now).Got + tokens/2) / l.level
+	return (l.total(account, now).Granted + tokens/2) / l.level
 }
 
-// Level returns the greatest sum that an account may have got at present.
-func (l *Ledger) Level() float64 { return l.level }
+// MaxMinShare returns the greatest sum that an account may have got at present.
+func (l *Ledger) MaxMinShare() float64 { return l.level }
 
-// Whole returns how much of its even part of all that was served of late, idle
+// EvenShareUsed returns how much of its even part of all that was served of late, idle
 // capacity included, the account will have got with the tokens. It goes by the
 // last Standing.
 //
 // Idle capacity that is given to whoever asks most goes to the largest account
 // alone: one got 5,629,545 tokens in six seconds, of which its share were some
 // 900,000, while another that asked 5,461,090 got 1,643,484.
-func (l *Ledger) Whole(account fleet.Account, tokens float64, now boottime.Instant) float64 {
+func (l *Ledger) EvenShareUsed(account fleet.Account, tokens float64, now boottime.Instant) float64 {
 	if l.whole == 0 {
 		return 0
 	}
 	total := l.total(account, now)
-	return (total.Got + total.Idle + tokens/2) / l.whole
+	return (total.Granted + total.Idle + tokens/2) / l.whole
 }
 
 // Shortage returns the part of the stated capacity that the engines lack, as of
@@ -202,10 +202,10 @@
 	asked := make([]float64, 0, len(l.own))
 	got, all := 0.0, 0.0
 	l.sumOthers(now)
-	note := func(total Use) {
-		asked = append(asked, total.Asked)
-		got += total.Got
-		all += total.Got + total.Idle
+	note := func(total Usage) {
+		asked = append(asked, total.Requested)
+		got += total.Granted
+		all += total.Granted + total.Idle
 	}
 	for account := range l.rest {
 		note(l.total(account, now))
@@ -217,22 +217,22 @@
 	}
 	capacity := stated * memory.Seconds()
 	shortage := 0.0
-	if l.Observe {
-		contested := !math.IsInf(WaterLevel(asked, capacity), 1)
+	if l.ObserveCapacity {
+		contested := !math.IsInf(MaxMinShare(asked, capacity), 1)
 		l.tested.note(contested, now)
 		capacity, shortage = observed(capacity, got, l.tested.part)
 	}
-	l.whole = WaterLevel(asked, max(capacity, idleGrowth*all))
-	l.level = WaterLevel(asked, capacity)
+	l.whole = MaxMinShare(asked, max(capacity, idleGrowth*all))
+	l.level = MaxMinShare(asked, capacity)
 	if math.IsInf(l.level, 1) {
 		shortage = 0
 	}
 	l.shortage = shortage
 }
 
-// WaterLevel returns the level L with the sum of min(asked, L) equal to the
+// MaxMinShare returns the level L with the sum of min(asked, L) equal to the
 // capacity: the max-min fair share. It is infinite when all that is asked fits.
-func WaterLevel(asked []float64, capacity float64) float64 {
+func MaxMinShare(asked []float64, capacity float64) float64 {
 	slices.Sort(asked)
 	left := capacity
 	for i, amount := range asked {
@@ -252,21 +252,21 @@
 	for _, told := range l.others {
 		passed := now.Sub(told.at)
 		for account, use := range told.uses {
-			l.rest[account] = l.rest[account].Add(use.After(passed))
+			l.rest[account] = l.rest[account].Add(use.Decayed(passed))
 		}
 	}
 }
 
 // total returns what the account asked and got at all routers. What others tell
 // counts from the next level on.
-func (l *Ledger) total(account fleet.Account, now boottime.Instant) Use {
-	var total Use
+func (l *Ledger) total(account fleet.Account, now boottime.Instant) Usage {
+	var total Usage
 	if entry := l.own[account]; entry != nil {
 		entry.decay(now)
 		total = entry.use
 	}
 	if rest, ok := l.rest[account]; ok {
-		total = total.Add(rest.After(now.Sub(l.restAt)))
+		total = total.Add(rest.Decayed(now.Sub(l.restAt)))
 	}
 	return total
 }
--- a/internal/shares/shares_test.go
+++ b/internal/shares/shares_test.go
@@ -24,7 +24,7 @@
 		{[]float64{10, 10}, 10, 5},
 		{[]float64{1, 100, 100}, 21, 10},
 	} {
-		if got := WaterLevel(test.asked, test.capacity); got != test.want {
+		if got := MaxMinShare(test.asked, test.capacity); got != test.want {
 			t.Errorf("%v of %v: %v, want %v", test.asked, test.capacity, got, test.want)
 		}
 	}
@@ -39,7 +39,7 @@
 		for _, amount := range asked {
 			total += amount
 		}
-		level := WaterLevel(asked, capacity)
+		level := MaxMinShare(asked, capacity)
 		given := 0.0
 		for _, amount := range asked {
 			given += min(amount, level)
@@ -60,15 +60,15 @@
 		now := start
 		for range 100 {
 			now = now.Add(100 * time.Millisecond)
-			ledger.Asked("large", flood/10, now)
-			if ledger.Standing("large", flood/10, capacity, now) <= 1 {
-				ledger.Got("large", flood/10, now)
+			ledger.AddRequested("large", flood/10, now)
+			if ledger.ShareUsed("large", flood/10, capacity, now) <= 1 {
+				ledger.AddGranted("large", flood/10, now)
 			}
-			ledger.Asked("small", 40, now)
-			if ledger.Standing("small", 40, capacity, now) > 1 {
-				t.Fatalf("the small account is refused at level %v", ledger.Level())
+			ledger.AddRequested("small", 40, now)
+			if ledger.ShareUsed("small", 40, capacity, now) > 1 {
+				t.Fatalf("the small account is refused at level %v", ledger.MaxMinShare())
 			}
-			ledger.Got("small", 40, now)
+			ledger.AddGranted("small", 40, now)
 		}
 	})
 }
@@ -78,25 +78,25 @@
 // Cause: each router counted for itself.
 func TestSharesCountAllRouters(t *testing.T) {
 	ledger := NewLedger()
-	ledger.SetOther("other", map[fleet.Account]Use{"large": {Asked: 10_000, Got: 4_000}, "small": {Asked: 1500, Got: 500}}, start)
-	ledger.Asked("large", 1000, start)
-	if ledger.Standing("large", 1000, 1000, start) <= 1 {
+	ledger.SetOther("other", map[fleet.Account]Usage{"large": {Requested: 10_000, Granted: 4_000}, "small": {Requested: 1500, Granted: 500}}, start)
+	ledger.AddRequested("large", 1000, start)
+	if ledger.ShareUsed("large", 1000, 1000, start) <= 1 {
 		t.Error("the account has got more than its share elsewhere")
 	}
-	if ledger.Standing("small", 100, 1000, start) > 1 {
+	if ledger.ShareUsed("small", 100, 1000, start) > 1 {
 		t.Error("the other account has not")
 	}
 	ledger.RemoveOther("other")
-	if ledger.Standing("large", 1000, 1000, start.Add(time.Second)) > 1 {
+	if ledger.ShareUsed("large", 1000, 1000, start.Add(time.Second)) > 1 {
 		t.Error("a lost router still counts")
 	}
 }
 
 func TestSumsDecay(t *testing.T) {
 	ledger := NewLedger()
-	ledger.Got("a", 1000, start)
+	ledger.AddGranted("a", 1000, start)
 	uses := ledger.Own(start.Add(memory))
-	if got := uses["a"].Got; math.Abs(got-1000/math.E) > 1 {
+	if got := uses["a"].Granted; math.Abs(got-1000/math.E) > 1 {
 		t.Errorf("%v is left after the time constant", got)
 	}
 	if uses := ledger.Own(start.Add(20 * memory)); len(uses) != 0 {
@@ -106,9 +106,9 @@
 
 func TestReturnedTokensDoNotCount(t *testing.T) {
 	ledger := NewLedger()
-	ledger.Got("a", 1000, start)
-	ledger.Returned("a", 1000, start)
-	if got := ledger.Own(start)["a"].Got; got != 0 {
+	ledger.AddGranted("a", 1000, start)
+	ledger.RefundGranted("a", 1000, start)
+	if got := ledger.Own(start)["a"].Granted; got != 0 {
 		t.Errorf("%v is counted", got)
 	}
 }
@@ -120,7 +120,7 @@
 func TestShortEnginesAreDividedEvenly(t *testing.T) {
 	const stated, does = 1000.0, 400.0
 	ledger := NewLedger()
-	ledger.Observe = true
+	ledger.ObserveCapacity = true
 	got := map[fleet.Account]float64{}
 	now := start
 	for tick := range 200 {
@@ -128,12 +128,12 @@
 		left := does * 0.05
 		// The large account asks three times as often, so it is first each time.
 		for _, account := range []fleet.Account{"large", "large", "large", "middling"} {
-			ledger.Asked(account, 20, now)
-			if left < 20 || ledger.Standing(account, 20, stated, now) > 1 {
+			ledger.AddRequested(account, 20, now)
+			if left < 20 || ledger.ShareUsed(account, 20, stated, now) > 1 {
 				continue
 			}
 			left -= 20
-			ledger.Got(account, 20, now)
+			ledger.AddGranted(account, 20, now)
 			if tick > 100 {
 				got[account] += 20
 			}
@@ -150,21 +150,21 @@
 // Capacity that nobody asks for is no shortage, and one that comes back is found.
 func TestShortagePasses(t *testing.T) {
 	ledger := NewLedger()
-	ledger.Observe = true
+	ledger.ObserveCapacity = true
 	now := start
 	for range 100 {
 		now = now.Add(50 * time.Millisecond)
-		ledger.Asked("a", 10, now)
-		ledger.Got("a", 10, now)
+		ledger.AddRequested("a", 10, now)
+		ledger.AddGranted("a", 10, now)
 	}
-	if standing := ledger.Standing("a", 10, 1000, now); standing != 0 || ledger.Shortage() != 0 {
+	if standing := ledger.ShareUsed("a", 10, 1000, now); standing != 0 || ledger.Shortage() != 0 {
 		t.Errorf("standing %v, shortage %v with little to do", standing, ledger.Shortage())
 	}
 	for range 200 {
 		now = now.Add(50 * time.Millisecond)
-		ledger.Asked("a", 100, now)
-		if ledger.Standing("a", 50, 1000, now) <= 1 {
-			ledger.Got("a", 50, now)
+		ledger.AddRequested("a", 100, now)
+		if ledger.ShareUsed("a", 50, 1000, now) <= 1 {
+			ledger.AddGranted("a", 50, now)
 		}
 	}
 	if ledger.Shortage() > 0.1 {
@@ -178,13 +178,13 @@
 // for what the engines can do.
 func TestStartIsNoShortage(t *testing.T) {
 	ledger := NewLedger()
-	ledger.Observe = true
+	ledger.ObserveCapacity = true
 	now := start
 	for range 10 {
 		now = now.Add(50 * time.Millisecond)
-		ledger.Asked("a", 150, now)
-		ledger.Got("a", 45, now)
-		ledger.Standing("a", 50, 1000, now)
+		ledger.AddRequested("a", 150, now)
+		ledger.AddGranted("a", 45, now)
+		ledger.ShareUsed("a", 50, 1000, now)
 		if ledger.Shortage() > 0.2 {
 			t.Fatalf("shortage %v after %v", ledger.Shortage(), now.Sub(start))
 		}
@@ -197,9 +197,9 @@
 func flood(ledger *Ledger, now boottime.Instant, length time.Duration) (boottime.Instant, float64) {
 	worst := 0.0
 	for end := now.Add(length); now < end; now = now.Add(10 * time.Millisecond) {
-		ledger.Asked("a", 30, now)
-		if ledger.Standing("a", 10, 1000, now) <= 1 {
-			ledger.Got("a", 10, now)
+		ledger.AddRequested("a", 30, now)
+		if ledger.ShareUsed("a", 10, 1000, now) <= 1 {
+			ledger.AddGranted("a", 10, now)
 		}
 		worst = max(worst, ledger.Shortage())
 	}
@@ -213,11 +213,11 @@
 // Cause: what accounts got was nothing, and was taken for what engines can do.
 func TestOutageIsNoShortage(t *testing.T) {
 	ledger := NewLedger()
-	ledger.Observe = true
+	ledger.ObserveCapacity = true
 	now, _ := flood(ledger, start, 10*time.Second)
 	for range 60 {
 		now = now.Add(100 * time.Millisecond)
-		ledger.Shut(now)
+		ledger.PauseCapacityTest(now)
 	}
 	if _, worst := flood(ledger, now, 5*time.Second); worst > 0.2 {
 		t.Errorf("shortage %v after the outage", worst)
@@ -230,13 +230,13 @@
 // Cause: what they got before the burst was taken for what engines can do.
 func TestBurstIsNoShortage(t *testing.T) {
 	ledger := NewLedger()
-	ledger.Observe = true
+	ledger.ObserveCapacity = true
 	now := start
 	for range 100 {
 		now = now.Add(100 * time.Millisecond)
-		ledger.Asked("a", 30, now)
-		ledger.Standing("a", 30, 1000, now)
-		ledger.Got("a", 30, now)
+		ledger.AddRequested("a", 30, now)
+		ledger.ShareUsed("a", 30, 1000, now)
+		ledger.AddGranted("a", 30, now)
 	}
 	if _, worst := flood(ledger, now, 5*time.Second); worst > 0.2 {
 		t.Errorf("shortage %v in the burst", worst)
@@ -262,16 +262,16 @@
 				account = "middling"
 			}
 			const tokens = 100
-			ledger.Asked(account, tokens, now)
-			within := ledger.Standing(account, tokens, stated, now) <= 1
-			if left < tokens/2 || (!within && ledger.Whole(account, tokens, now) > 1) {
+			ledger.AddRequested(account, tokens, now)
+			within := ledger.ShareUsed(account, tokens, stated, now) <= 1
+			if left < tokens/2 || (!within && ledger.EvenShareUsed(account, tokens, now) > 1) {
 				continue
 			}
 			left -= tokens
 			if within {
-				ledger.Got(account, tokens, now)
+				ledger.AddGranted(account, tokens, now)
 			} else {
-				ledger.GotIdle(account, tokens, now)
+				ledger.AddIdle(account, tokens, now)
 			}
 			if tick > 200 {
 				got[account] += tokens
