--- a/internal/backendconn/exchange.go
+++ b/internal/backendconn/exchange.go
@@ -33,15 +33,15 @@
 	Host   string
 	Header http.Header // without Host and Content-Length
 	Body   []byte
-	// Mine tells by its header whether an answer belongs to this request.
-	Mine func(header http.Header) bool
+	// MatchesRequest tells by its header whether an answer belongs to this request.
+	MatchesRequest func(header http.Header) bool
 	// MaxConnections bounds the connections to the backend server.
 	MaxConnections int
-	// Check is asked once the connection is open; an error means that nothing is sent.
+	// BeforeSend is asked once the connection is open; an error means that nothing is sent.
 	// nil for nothing to ask.
-	Check func() error
-	// Sending is called right before the first byte is sent; nil for nothing.
-	Sending func()
+	BeforeSend func() error
+	// OnSend is called right before the first byte is sent; nil for nothing.
+	OnSend func()
 }
 
 // Answer is the head of an answer and the means to read its body.
@@ -63,15 +63,15 @@
 	broken   bool // reading the body failed, and not because of this router
 }
 
-// ErrAbandoned tells that the caller left before anything was sent.
-var ErrAbandoned = errors.New("the caller has left")
+// ErrCallerDisconnected tells that the caller left before anything was sent.
+var ErrCallerDisconnected = errors.New("the caller has left")
 
 // check returns why the request is not to be sent, or nil.
 func (r *Request) check() error {
-	if r.Check == nil {
+	if r.BeforeSend == nil {
 		return nil
 	}
-	return r.Check()
+	return r.BeforeSend()
 }
 
 // Do sends the request to the address and returns the head of its answer. The
@@ -90,8 +90,8 @@
 		p.discard(address, c, ReasonAbandoned)
 		return nil, failed(err, ProgressNone, fleet.StepSend, address)
 	}
-	if request.Sending != nil {
-		request.Sending()
+	if request.OnSend != nil {
+		request.OnSend()
 	}
 	stop := context.AfterFunc(ctx, c.abort) // ends reads and writes
 	written := new(atomic.Bool)
@@ -186,7 +186,7 @@
 		if response.StatusCode >= http.StatusContinue && response.StatusCode < http.StatusOK {
 			continue
 		}
-		if request.Mine(response.Header) {
+		if request.MatchesRequest(response.Header) {
 			return response, nil
 		}
 		if _, err := io.Copy(io.Discard, response.Body); err != nil {
--- a/internal/backendconn/exchange_test.go
+++ b/internal/backendconn/exchange_test.go
@@ -63,12 +63,12 @@
 
 func ask(id string) *Request {
 	return &Request{
-		Method: http.MethodPost,
-		URI:    "/a/b?c=d",
-		Host:   "host.example",
-		Header: http.Header{"Id": {id}},
-		Body:   []byte("body"),
-		Mine:   func(header http.Header) bool { return header.Get("Id") == id },
+		Method:         http.MethodPost,
+		URI:            "/a/b?c=d",
+		Host:           "host.example",
+		Header:         http.Header{"Id": {id}},
+		Body:           []byte("body"),
+		MatchesRequest: func(header http.Header) bool { return header.Get("Id") == id },
 	}
 }
 
@@ -307,10 +307,10 @@
 		received <- n
 	})
 	request := ask("1")
-	request.Check = func() error { return ErrAbandoned }
+	request.BeforeSend = func() error { return ErrCallerDisconnected }
 	pool := NewPool()
 	_, err := pool.Do(t.Context(), server.address, request)
-	if !errors.Is(err, ErrAbandoned) || ProgressOf(err) != ProgressNone {
+	if !errors.Is(err, ErrCallerDisconnected) || ProgressOf(err) != ProgressNone {
 		t.Errorf("%v, want word that nothing was sent", err)
 	}
 	if n := <-received; n != 0 {
@@ -376,7 +376,7 @@
 		if _, err := exchange(t, pool, server.address, ask(id)); err != nil {
 			t.Fatal(err)
 		}
-		pool.Forget(server.address)
+		pool.DropIdle(server.address)
 		if open := pool.Open(server.address); open != 0 {
 			t.Errorf("%d connections are kept", open)
 		}
--- a/internal/backendconn/history.go
+++ b/internal/backendconn/history.go
@@ -31,7 +31,7 @@
 	if !e.reason.followsIdle() {
 		return Opening{Reason: e.reason}
 	}
-	return Opening{Reason: e.reason, Idle: now.Sub(e.idleSince), Stated: e.stated}
+	return Opening{Reason: e.reason, IdleTime: now.Sub(e.idleSince), StatedTimeout: e.stated}
 }
 
 // history remembers how connections ended, the newest last for each address. It
--- a/internal/backendconn/history_test.go
+++ b/internal/backendconn/history_test.go
@@ -65,7 +65,7 @@
 func TestIdleTimeRunsUntilTheOpening(t *testing.T) {
 	start := boottime.Instant(time.Hour)
 	ended := ending{reason: ReasonExpired, at: start.Add(time.Second), idleSince: start, stated: 5 * time.Second}
-	want := Opening{Reason: ReasonExpired, Idle: 9 * time.Second, Stated: 5 * time.Second}
+	want := Opening{Reason: ReasonExpired, IdleTime: 9 * time.Second, StatedTimeout: 5 * time.Second}
 	if got := ended.opening(start.Add(9 * time.Second)); got != want {
 		t.Errorf("opening %+v, want %+v", got, want)
 	}
--- a/internal/backendconn/pool.go
+++ b/internal/backendconn/pool.go
@@ -89,10 +89,10 @@
 	return 0
 }
 
-// Forget closes the idle connections to an address. A backend server that
+// DropIdle closes the idle connections to an address. A backend server that
 // crashed and started again there knows nothing of them, and behind a partition
 // it could not say so: a request sent on one would be lost.
-func (p *Pool) Forget(address fleet.Address) {
+func (p *Pool) DropIdle(address fleet.Address) {
 	p.mu.Lock()
 	p.ended.replace(address)
 	p.mu.Unlock()
--- a/internal/backendconn/reason.go
+++ b/internal/backendconn/reason.go
@@ -30,13 +30,13 @@
 // Opening describes a connection that has been opened.
 type Opening struct {
 	Reason Reason
-	// Idle is, for ReasonExpired and ReasonClosed, the time from the last answer
+	// IdleTime is, for ReasonExpired and ReasonClosed, the time from the last answer
 	// on the former connection to this opening: for so long it would have had to
 	// last to make the opening unnecessary. 0 for other reasons.
-	Idle time.Duration
-	// Stated is the idle timeout that the backend server stated on the former
+	IdleTime time.Duration
+	// StatedTimeout is the idle timeout that the backend server stated on the former
 	// connection, for the same reasons; 0 if it stated none.
-	Stated time.Duration
+	StatedTimeout time.Duration
 }
 
 // FollowsIdle tells whether Idle and Stated are set.
--- a/internal/backendconn/reason_test.go
+++ b/internal/backendconn/reason_test.go
@@ -128,7 +128,7 @@
 			}
 			burst(3)
 			seen.check(t, ReasonFirst, ReasonBusy, ReasonExpired, ReasonExpired, ReasonBusy)
-			if got := seen.all[2]; got.Stated != 5*time.Second || got.Idle <= 0 {
+			if got := seen.all[2]; got.StatedTimeout != 5*time.Second || got.IdleTime <= 0 {
 				t.Errorf("%+v, want an idle time and the stated timeout", got)
 			}
 		})
@@ -153,7 +153,7 @@
 			time.Sleep(50 * time.Millisecond)
 			mustExchange(t, pool, server.address, "1")
 			seen.check(t, ReasonFirst, ReasonClosed)
-			if got := seen.all[1].Idle; got < 50*time.Millisecond || got > 5*time.Second {
+			if got := seen.all[1].IdleTime; got < 50*time.Millisecond || got > 5*time.Second {
 				t.Errorf("idle for %v, want the time since the answer", got)
 			}
 		})
@@ -206,7 +206,7 @@
 	answer.Close()
 
 	unsent := ask("1")
-	unsent.Check = func() error { return ErrAbandoned }
+	unsent.BeforeSend = func() error { return ErrCallerDisconnected }
 	if _, err := pool.Do(t.Context(), server.address, unsent); err == nil {
 		t.Fatal("the request was sent")
 	}
@@ -221,11 +221,11 @@
 	server := answering(t, "Keep-Alive: timeout=60\r\n")
 	pool, seen := observed()
 	mustExchange(t, pool, server.address, "1")
-	pool.Forget(server.address)
+	pool.DropIdle(server.address)
 	mustExchange(t, pool, server.address, "2")
 	expire(pool)
 	pool.closeIdle(func(c *conn) bool { return boottime.Now() >= c.usableUntil })
-	pool.Forget(server.address)
+	pool.DropIdle(server.address)
 	mustExchange(t, pool, server.address, "3")
 	seen.check(t, ReasonFirst, ReasonReplaced, ReasonReplaced)
 }
--- a/internal/gate/connections.go
+++ b/internal/gate/connections.go
@@ -79,7 +79,7 @@
 func (c *connectionStats) opened(opening backendconn.Opening) {
 	c.total.WithLabelValues(string(opening.Reason)).Inc()
 	if opening.FollowsIdle() {
-		c.idle.WithLabelValues(string(opening.Reason)).Observe(opening.Idle.Seconds())
+		c.idle.WithLabelValues(string(opening.Reason)).Observe(opening.IdleTime.Seconds())
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -96,12 +96,12 @@
 }
 
 func (t *idleTimes) add(opening backendconn.Opening) {
-	idle, stated := opening.Idle.Milliseconds(), opening.Stated.Milliseconds()
+	idle, stated := opening.IdleTime.Milliseconds(), opening.StatedTimeout.Milliseconds()
 	if t.count == 0 {
 		t.Min, t.StatedMin = idle, stated
 	}
 	t.count++
-	t.sum += opening.Idle
+	t.sum += opening.IdleTime
 	t.Min, t.Max = min(t.Min, idle), max(t.Max, idle)
 	t.StatedMin, t.StatedMax = min(t.StatedMin, stated), max(t.StatedMax, stated)
 	t.Mean = t.sum.Milliseconds() / t.count
--- a/internal/gate/connections_test.go
+++ b/internal/gate/connections_test.go
@@ -23,8 +23,8 @@
 	}
 	for _, opening := range []backendconn.Opening{
 		{Reason: backendconn.ReasonFirst},
-		{Reason: backendconn.ReasonExpired, Idle: time.Second},
-		{Reason: backendconn.ReasonExpired, Idle: 3 * time.Second, Stated: 2 * time.Second},
+		{Reason: backendconn.ReasonExpired, IdleTime: time.Second},
+		{Reason: backendconn.ReasonExpired, IdleTime: 3 * time.Second, StatedTimeout: 2 * time.Second},
 	} {
 		counted.opened(opening)
 	}
@@ -59,7 +59,7 @@
 	registry := prometheus.NewRegistry()
 	counted := newConnectionStats(logger, registry)
 	counted.opened(backendconn.Opening{Reason: backendconn.ReasonBusy})
-	counted.opened(backendconn.Opening{Reason: backendconn.ReasonClosed, Idle: 3 * time.Second})
+	counted.opened(backendconn.Opening{Reason: backendconn.ReasonClosed, IdleTime: 3 * time.Second})
 	families, err := registry.Gather()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gate/manager.go
+++ b/internal/gate/manager.go
@@ -221,7 +221,7 @@
 		if known == nil || known.Incarnation == backend.Incarnation {
 			continue
 		}
-		m.handler.pool.Forget(known.Address)
+		m.handler.pool.DropIdle(known.Address)
 		event.GateBackendRestarted.Log(m.options.Logger, logrus.Fields{"backend": id, "born": backend.StartedAt})
 	}
 }
--- a/internal/gate/run.go
+++ b/internal/gate/run.go
@@ -232,10 +232,10 @@
 		Host:           r.request.Host,
 		Header:         r.handler.dialect.ForwardHeader(forward),
 		Body:           r.request.Body,
-		Mine:           r.ownAnswer,
+		MatchesRequest: r.ownAnswer,
 		MaxConnections: r.maxConnections(placed.backend),
-		Check:          func() error { return r.checkBeforeSend(ctx, placed.backend) },
-		Sending:        func() { placed.permit.Sent(boottime.Now()) },
+		BeforeSend:     func() error { return r.checkBeforeSend(ctx, placed.backend) },
+		OnSend:         func() { placed.permit.Sent(boottime.Now()) },
 	}
 }
 
@@ -247,7 +247,7 @@
 // may leave, and the backend server may say that it wants nothing.
 func (r *relay) checkBeforeSend(ctx context.Context, backend *knowledge.Backend) error {
 	if callerDisconnected(ctx) {
-		return backendconn.ErrAbandoned
+		return backendconn.ErrCallerDisconnected
 	}
 	if err := ctx.Err(); err != nil {
 		return err
@@ -289,7 +289,7 @@
 	h := r.handler
 	unsent := backendconn.ProgressOf(err) == backendconn.ProgressNone
 	h.admission.ended(r.request, placed, !unsent)
-	if errors.Is(err, backendconn.ErrAbandoned) || callerCanceled(ctx) {
+	if errors.Is(err, backendconn.ErrCallerDisconnected) || callerCanceled(ctx) {
 		return r.callerDisconnected()
 	}
 	r.logSendFailure(ctx, placed, err)
