--- a/internal/gate/paces.go
+++ b/internal/gate/paces.go
@@ -83,7 +83,7 @@
 		return
 	}
 	p.list(backend)
-	p.table.Told(backend.IncarnationHash, reply.Load, now)
+	p.table.RecordReport(backend.IncarnationHash, reply.Load, now)
 	if p.engine(backend.IncarnationHash).Contradicted {
 		watcher.count(reportContradicted)
 		return
@@ -97,10 +97,10 @@
 	if !p.enabled() {
 		return took
 	}
-	p.table.Read(backend.IncarnationHash, pending, took, boottime.Now())
+	p.table.RecordFirstEvent(backend.IncarnationHash, pending, took, boottime.Now())
 	built := p.current()
 	engine := built.snapshot.Engine(backend.IncarnationHash)
-	if !engine.Told {
+	if !engine.HasReport {
 		return took
 	}
 	workTime := engine.Usual
@@ -114,7 +114,7 @@
 // streamed notes the end of a whole stream, and whether it was late.
 func (p *paces) streamed(backend *knowledge.Backend, late bool) {
 	if p.enabled() {
-		p.table.Streamed(backend.IncarnationHash, late, boottime.Now())
+		p.table.RecordStreamEnd(backend.IncarnationHash, late, boottime.Now())
 	}
 }
 
@@ -258,5 +258,5 @@
 	p.mu.Lock()
 	p.listed = listed
 	p.mu.Unlock()
-	p.table.Keep(hashes)
+	p.table.Retain(hashes)
 }
--- a/internal/gate/paces_test.go
+++ b/internal/gate/paces_test.go
@@ -81,7 +81,7 @@
 		t.Error("something is told of paces")
 	}
 	for _, backend := range []*knowledge.Backend{f.fast, f.slow} {
-		if got := f.paces.engine(backend.IncarnationHash); got.Told || got.Usual != 1 || got.Now != 1 {
+		if got := f.paces.engine(backend.IncarnationHash); got.HasReport || got.Usual != 1 || got.Now != 1 {
 			t.Errorf("%+v is expected of %s", got, backend.ID)
 		}
 	}
@@ -100,7 +100,7 @@
 	if f.paces.told("s") || !f.paces.told("plain") {
 		t.Errorf("told: %t for engines without work times, %t for servers with them", f.paces.told("s"), f.paces.told("plain"))
 	}
-	if got := f.paces.engine(f.fast.IncarnationHash); got.Told || got.Usual != 1 {
+	if got := f.paces.engine(f.fast.IncarnationHash); got.HasReport || got.Usual != 1 {
 		t.Errorf("%+v", got)
 	}
 	if rate, seconds := f.loads.observedRate("s"); rate != 10_000 || seconds != 1 {
@@ -221,7 +221,7 @@
 func TestOtherRoutersPacesCount(t *testing.T) {
 	f := newPacedFleet(t, true)
 	f.peers.paces = map[uint32]pace.Observation{f.slow.IncarnationHash: {Usual: 3}}
-	if got := f.paces.engine(f.slow.IncarnationHash); !got.Told || got.Usual != 3 || !f.paces.told("s") {
+	if got := f.paces.engine(f.slow.IncarnationHash); !got.HasReport || got.Usual != 3 || !f.paces.told("s") {
 		t.Errorf("%+v", got)
 	}
 	if got := f.paces.own(boottime.Now()); got != nil {
@@ -239,7 +239,7 @@
 	f.tell(f.fast, 0.5)
 	f.paces.keep(map[string]*knowledge.Backend{"slow": f.slow})
 	f.due()
-	if got := f.paces.engine(f.fast.IncarnationHash); got.Told || f.paces.told("s") || f.paces.own(boottime.Now()) != nil {
+	if got := f.paces.engine(f.fast.IncarnationHash); got.HasReport || f.paces.told("s") || f.paces.own(boottime.Now()) != nil {
 		t.Errorf("%+v is kept", got)
 	}
 }
@@ -348,7 +348,7 @@
 	p := newPaces(settings, newLoads(), peers)
 	for hash := range uint32(640) {
 		peers.paces[hash*2654435761] = pace.Observation{Usual: 1, ReadTokens: 100, ReadSeconds: 1}
-		p.table.Told(hash*2654435761, pace.Report{WorkTime: 1}, boottime.Now())
+		p.table.RecordReport(hash*2654435761, pace.Report{WorkTime: 1}, boottime.Now())
 	}
 	b.Run("look", func(b *testing.B) {
 		for b.Loop() {
--- a/internal/pace/observation.go
+++ b/internal/pace/observation.go
@@ -20,16 +20,16 @@
 
 const (
 	// LeastWorkTime and MostWorkTime bound the work times that are believed.
-	LeastWorkTime = 0.01
-	MostWorkTime  = 100
+	MinWorkTime = 0.01
+	MaxWorkTime = 100
 )
 
 // ValidWorkTime tells whether a work time can be used. NaN can't.
-func ValidWorkTime(value float64) bool { return value >= LeastWorkTime && value <= MostWorkTime }
+func ValidWorkTime(value float64) bool { return value >= MinWorkTime && value <= MaxWorkTime }
 
 const (
-	// Life is how long after it was told a work time counts at most.
-	Life = 2 * window
+	// MaxAge is how long after it was told a work time counts at most.
+	MaxAge = 2 * window
 	// nowLife is how long the newest work time stands for the current one. It is shorter
 	// than slow phases usually last, so that no server is avoided long after one.
 	nowLife = 400 * time.Millisecond
@@ -78,12 +78,12 @@
 	return min(a, b)
 }
 
-// After returns what is left of the observation when the time has passed.
-func (o Observation) After(passed time.Duration) Observation {
+// Decayed returns what is left of the observation when the time has passed.
+func (o Observation) Decayed(passed time.Duration) Observation {
 	if passed <= 0 {
 		return o
 	}
-	if passed >= Life {
+	if passed >= MaxAge {
 		o.Usual = 0
 	}
 	left := math.Exp(-passed.Seconds() / sumMemory.Seconds())
--- a/internal/pace/pace_test.go
+++ b/internal/pace/pace_test.go
@@ -61,7 +61,7 @@
 		o := drawObservation(t, "o")
 		first := time.Duration(rapid.IntRange(0, 9000).Draw(t, "first")) * time.Millisecond
 		second := time.Duration(rapid.IntRange(0, 9000).Draw(t, "second")) * time.Millisecond
-		one, two := o.After(first+second), o.After(first).After(second)
+		one, two := o.Decayed(first+second), o.Decayed(first).Decayed(second)
 		if math.Abs(one.ReadTokens-two.ReadTokens) > 1e-6*o.ReadTokens || math.Abs(one.Late-two.Late) > 1e-6*o.Late {
 			t.Fatalf("%+v in one step, %+v in two", one, two)
 		}
@@ -74,9 +74,9 @@
 // Guards against engines that count as average until many answers have come.
 func TestOneAnswerIsEnough(t *testing.T) {
 	table := NewTable()
-	table.Told(theEngine, told(1.2), start)
+	table.RecordReport(theEngine, told(1.2), start)
 	got := at(table, start.Add(time.Second))
-	if !got.Told || got.Usual != 1.2 || got.Now != 1.2 || got.Age != time.Second {
+	if !got.HasReport || got.Usual != 1.2 || got.Now != 1.2 || got.Age != time.Second {
 		t.Errorf("%+v", got)
 	}
 	if want := rate / 1.2; math.Abs(got.Rate-want) > 1 {
@@ -88,9 +88,9 @@
 // against one that counts after it has ended.
 func TestSlowPhaseCountsForItsTime(t *testing.T) {
 	table := NewTable()
-	table.Told(theEngine, told(0.55), start)
+	table.RecordReport(theEngine, told(0.55), start)
 	slow := start.Add(time.Second)
-	table.Told(theEngine, told(1.375), slow)
+	table.RecordReport(theEngine, told(1.375), slow)
 	own := table.Own(slow.Add(nowLife))[theEngine]
 	if got := at(table, slow.Add(nowLife)); got.Usual != 0.55 || got.Now != 1.375 || !own.Slowed(slow.Add(nowLife)) {
 		t.Errorf("%+v in the slow phase", got)
@@ -109,22 +109,22 @@
 		pause := time.Duration(rapid.IntRange(20, 3000).Draw(t, "pause in ms")) * time.Millisecond
 		turns := start.Add(time.Duration(rapid.IntRange(1, 30_000).Draw(t, "turns slow after ms")) * time.Millisecond)
 		last := start // fast report
-		for now := start; now < turns.Add(Life+pause); now = now.Add(pause) {
+		for now := start; now < turns.Add(MaxAge+pause); now = now.Add(pause) {
 			if now < turns {
-				table.Told(theEngine, told(0.55), now)
+				table.RecordReport(theEngine, told(0.55), now)
 				last = now
 			} else {
-				table.Told(theEngine, told(2), now)
+				table.RecordReport(theEngine, told(2), now)
 			}
 			want := 0.55
-			if now.Sub(last) >= Life {
+			if now.Sub(last) >= MaxAge {
 				want = 2
 			}
 			got := at(table, now).Usual
 			if got != want && now.Sub(last) < window {
 				t.Fatalf("%v %v after the last fast answer, too early", got, now.Sub(last))
 			}
-			if got != want && now.Sub(last) >= Life {
+			if got != want && now.Sub(last) >= MaxAge {
 				t.Fatalf("%v %v after the last fast answer, too late", got, now.Sub(last))
 			}
 		}
@@ -136,12 +136,12 @@
 func TestRestartedServerStartsEmpty(t *testing.T) {
 	const restarted = theEngine + 1
 	table := NewTable()
-	table.Told(theEngine, told(3), start)
-	table.Read(theEngine, 5000, time.Second, start)
+	table.RecordReport(theEngine, told(3), start)
+	table.RecordFirstEvent(theEngine, 5000, time.Second, start)
 	if got := NewSnapshot(table.Own(start), nil, func(uint32) float64 { return rate }, start).Engine(restarted); got != average {
 		t.Errorf("%+v of a server that has told nothing", got)
 	}
-	table.Keep(map[uint32]bool{restarted: true})
+	table.Retain(map[uint32]bool{restarted: true})
 	if got := table.Own(start); got != nil {
 		t.Errorf("%+v is kept of a server that is not listed", got)
 	}
@@ -161,17 +161,17 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			table := NewTable()
-			table.Told(theEngine, told(test.reported), start)
+			table.RecordReport(theEngine, told(test.reported), start)
 			took := time.Duration(test.really * float64(time.Second) / 2) // for 5,000 tokens
 			now := start
 			for seconds := 0.0; seconds < 2; seconds += took.Seconds() {
-				table.Read(theEngine, rate/2, took, now)
+				table.RecordFirstEvent(theEngine, rate/2, took, now)
 			}
 			if got := at(table, now); got.Usual != test.reported {
 				t.Errorf("%+v by too little reading", got)
 			}
 			for range 20 {
-				table.Read(theEngine, rate/2, took, now)
+				table.RecordFirstEvent(theEngine, rate/2, took, now)
 			}
 			got := at(table, now)
 			if math.Abs(got.Usual-test.want) > 0.01 || got.Contradicted != (test.want != test.reported) {
@@ -196,21 +196,21 @@
 // Guards against a router that goes on after a pause by figures from before it.
 func TestPausedRoutersFiguresStopCounting(t *testing.T) {
 	table := NewTable()
-	table.Told(theEngine, told(3), start)
+	table.RecordReport(theEngine, told(3), start)
 	others := Observation{Usual: 3, Now: 4, NowAt: start}
 	if got := at(table, start.Add(window-1)); got.Usual != 3 {
 		t.Errorf("%+v during the window", got)
 	}
-	if got := at(table, start.Add(Life)); got != average {
-		t.Errorf("%+v after %v", got, Life)
+	if got := at(table, start.Add(MaxAge)); got != average {
+		t.Errorf("%+v after %v", got, MaxAge)
 	}
-	if got := others.After(Life - 1); got.Usual != 3 {
-		t.Errorf("%+v of others just before %v", got, Life)
+	if got := others.Decayed(MaxAge - 1); got.Usual != 3 {
+		t.Errorf("%+v of others just before %v", got, MaxAge)
 	}
-	after := start.Add(Life)
-	snapshot := NewSnapshot(nil, map[uint32]Observation{theEngine: others.After(Life)}, func(uint32) float64 { return rate }, after)
+	after := start.Add(MaxAge)
+	snapshot := NewSnapshot(nil, map[uint32]Observation{theEngine: others.Decayed(MaxAge)}, func(uint32) float64 { return rate }, after)
 	if got := snapshot.Engine(theEngine); got != average {
-		t.Errorf("%+v of others after %v", got, Life)
+		t.Errorf("%+v of others after %v", got, MaxAge)
 	}
 }
 
@@ -219,10 +219,10 @@
 func TestNothingIsKeptOfServersThatTellNothing(t *testing.T) {
 	table := NewTable()
 	for _, workTime := range []float64{0, -1, 0.009, 101, math.NaN(), math.Inf(1)} {
-		table.Told(theEngine, told(workTime), start)
+		table.RecordReport(theEngine, told(workTime), start)
 	}
-	table.Read(theEngine, 1000, time.Second, start)
-	table.Streamed(theEngine, true, start)
+	table.RecordFirstEvent(theEngine, 1000, time.Second, start)
+	table.RecordStreamEnd(theEngine, true, start)
 	if got := table.Own(start); got != nil {
 		t.Errorf("%+v", got)
 	}
@@ -231,8 +231,8 @@
 // Guards against figures of one router that hide those of others.
 func TestSnapshotMergesOwnAndOthers(t *testing.T) {
 	table := NewTable()
-	table.Told(theEngine, told(1.2), start)
-	table.Streamed(theEngine, true, start)
+	table.RecordReport(theEngine, told(1.2), start)
+	table.RecordStreamEnd(theEngine, true, start)
 	others := map[uint32]Observation{
 		theEngine:     {Usual: 1, Now: 2.5, NowAt: start.Add(time.Millisecond), Streams: 3},
 		theEngine + 1: {Usual: 0.6, Streams: 1, Late: 1},
--- a/internal/pace/snapshot.go
+++ b/internal/pace/snapshot.go
@@ -20,11 +20,11 @@
 
 // Estimate is what is expected of a backend server.
 type Estimate struct {
-	// Told tells that the server tells how long work takes there. Where it is false, all
+	// HasReport tells that the server tells how long work takes there. Where it is false, all
 	// other fields are those of an average server.
-	Told  bool
-	Usual float64 // usual work time, 1 if unknown
-	Now   float64 // work time at the moment, Usual if unknown
+	HasReport bool
+	Usual     float64 // usual work time, 1 if unknown
+	Now       float64 // work time at the moment, Usual if unknown
 	// Rate is how many prompt tokens the engine reads in a second at its usual work
 	// time, 0 while that of the service is unknown.
 	Rate float64
@@ -74,7 +74,7 @@
 
 // estimate returns what is expected of a server that tells its work time.
 func estimate(observation Observation, serviceRate float64, now boottime.Instant) Estimate {
-	e := Estimate{Told: true, Usual: observation.Usual, Now: observation.Usual, Age: -1, Reported: observation.Usual}
+	e := Estimate{HasReport: true, Usual: observation.Usual, Now: observation.Usual, Age: -1, Reported: observation.Usual}
 	if current := observation.Current(now); current > 0 {
 		e.Now = current
 	}
@@ -99,7 +99,7 @@
 		return
 	}
 	seen := serviceRate * observation.ReadSeconds / observation.ReadTokens
-	e.Seen = min(max(seen, LeastWorkTime), MostWorkTime)
+	e.Seen = min(max(seen, MinWorkTime), MaxWorkTime)
 	if e.Seen > contradictionRatio*e.Reported || e.Seen*contradictionRatio < e.Reported {
 		e.Contradicted, e.Usual, e.Now = true, e.Seen, e.Seen
 	}
--- a/internal/pace/table.go
+++ b/internal/pace/table.go
@@ -31,9 +31,9 @@
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{servers: make(map[uint32]*seen)} }
 
-// Told notes what a backend server told with an answer. A report without a usable work
+// RecordReport notes what a backend server told with an answer. A report without a usable work
 // time is ignored.
-func (t *Table) Told(server uint32, report Report, now boottime.Instant) {
+func (t *Table) RecordReport(server uint32, report Report, now boottime.Instant) {
 	if !ValidWorkTime(report.WorkTime) {
 		return
 	}
@@ -72,19 +72,19 @@
 
 // add adds to the sums.
 func (s *seen) add(sums Observation, now boottime.Instant) {
-	s.sums = s.sums.After(now.Sub(s.sumsAt)).Merge(sums)
+	s.sums = s.sums.Decayed(now.Sub(s.sumsAt)).Merge(sums)
 	s.sumsAt = max(s.sumsAt, now)
 }
 
-// Read notes that an engine took the time until the first event of a request, while so
+// RecordFirstEvent notes that an engine took the time until the first event of a request, while so
 // many prompt tokens were waiting there, the request's own included. Of servers that
 // tell no work time nothing is kept, as nothing is decided by it.
-func (t *Table) Read(server uint32, tokens float64, took time.Duration, now boottime.Instant) {
+func (t *Table) RecordFirstEvent(server uint32, tokens float64, took time.Duration, now boottime.Instant) {
 	t.add(server, Observation{ReadTokens: tokens, ReadSeconds: took.Seconds()}, now)
 }
 
-// Streamed notes the end of a whole stream, and whether it was late.
-func (t *Table) Streamed(server uint32, late bool, now boottime.Instant) {
+// RecordStreamEnd notes the end of a whole stream, and whether it was late.
+func (t *Table) RecordStreamEnd(server uint32, late bool, now boottime.Instant) {
 	ended := Observation{Streams: 1}
 	if late {
 		ended.Late = 1
@@ -115,15 +115,15 @@
 		if own == nil {
 			own = make(map[uint32]Observation, len(t.servers))
 		}
-		observation := known.sums.After(now.Sub(known.sumsAt))
+		observation := known.sums.Decayed(now.Sub(known.sumsAt))
 		observation.Usual, observation.Now, observation.NowAt = usual, known.newest, known.newestAt
 		own[server] = observation
 	}
 	return own
 }
 
-// Keep forgets the backend servers that are not listed any more.
-func (t *Table) Keep(listed map[uint32]bool) {
+// Retain forgets the backend servers that are not listed any more.
+func (t *Table) Retain(listed map[uint32]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for server := range t.servers {
--- a/internal/peering/paces.go
+++ b/internal/peering/paces.go
@@ -17,7 +17,7 @@
 	// paceRounds bounds the rounds from one of these cycles to the next. In zones with
 	// hundreds of routers a cycle takes a second or more, and what was told must be
 	// replaced before it is too old to count.
-	paceRounds = int(pace.Life / 3 / beatInterval)
+	paceRounds = int(pace.MaxAge / 3 / beatInterval)
 	// paceDigits converts work times to hundredths.
 	paceDigits = 100
 	// streamUnits is how many units a stream counts in beats.
@@ -56,9 +56,9 @@
 // add adds what others told, as it has become until the moment, the usual work times only
 // if usual is set.
 func (p *paces) add(other paces, now boottime.Instant, usual bool) {
-	if passed := now.Sub(other.at); usual && passed < pace.Life {
+	if passed := now.Sub(other.at); usual && passed < pace.MaxAge {
 		for server, observation := range other.usual {
-			p.usual[server] = p.usual[server].Merge(observation.After(passed))
+			p.usual[server] = p.usual[server].Merge(observation.Decayed(passed))
 		}
 	}
 	for server, observation := range other.slowed {
--- a/internal/peering/paces_test.go
+++ b/internal/peering/paces_test.go
@@ -32,7 +32,7 @@
 		now := boottime.Now()
 		seen := make(map[uint32]pace.Observation)
 		for range rapid.IntRange(0, 9).Draw(t, "count") {
-			usual := rapid.Float64Range(pace.LeastWorkTime, pace.MostWorkTime/4).Draw(t, "usual")
+			usual := rapid.Float64Range(pace.MinWorkTime, pace.MaxWorkTime/4).Draw(t, "usual")
 			seen[rapid.Uint32().Draw(t, "server")] = pace.Observation{
 				Usual:       usual,
 				Now:         usual * rapid.SampledFrom([]float64{1, 1.2, 2.5}).Draw(t, "ratio"),
@@ -180,12 +180,12 @@
 	now := boottime.Now()
 	table := newTable(self, "")
 	table.take(pacedBeat(1, 1, seenAt(now, 0.55), now), now)
-	for clock := int64(2); clock < 2+int64(pace.Life/time.Second); clock++ {
+	for clock := int64(2); clock < 2+int64(pace.MaxAge/time.Second); clock++ {
 		now = now.Add(time.Second)
 		table.take(pacedBeat(1, clock, nil, now), now)
 	}
 	if got := table.Paces(now); got != nil {
-		t.Errorf("%+v after %v", got, pace.Life)
+		t.Errorf("%+v after %v", got, pace.MaxAge)
 	}
 }
 
@@ -219,7 +219,7 @@
 func (*statusLocal) Status() gate.Status {
 	return gate.Status{Engines: []gate.EnginePace{{
 		ID: "i-1", Service: "s", Zone: "z", Running: 5,
-		Estimate: pace.Estimate{Told: true, Usual: 0.5, Now: 1.25, Rate: 9000, Late: 0.25, Age: time.Second},
+		Estimate: pace.Estimate{HasReport: true, Usual: 0.5, Now: 1.25, Rate: 9000, Late: 0.25, Age: time.Second},
 	}}}
 }
 
@@ -326,8 +326,8 @@
 			}
 			last = round
 		}
-		if gap := time.Duration(longest) * beatInterval; longest == 0 || gap > pace.Life*3/4 {
-			t.Errorf("%d turns: told every %v, counts for %v", turns, gap, pace.Life)
+		if gap := time.Duration(longest) * beatInterval; longest == 0 || gap > pace.MaxAge*3/4 {
+			t.Errorf("%d turns: told every %v, counts for %v", turns, gap, pace.MaxAge)
 		}
 	}
 }
