--- a/internal/gate/cold.go
+++ b/internal/gate/cold.go
@@ -137,7 +137,7 @@
 	}
 	return lo.Filter(backends, func(backend *knowledge.Backend, _ int) bool {
 		bound, isCold := cold[backend.Incarnation]
-		return !isCold || c.limiter.Open(coldKey(backend), bound, now)
+		return !isCold || c.limiter.CanAcquire(coldKey(backend), bound, now)
 	})
 }
 
@@ -148,7 +148,7 @@
 	if !isCold {
 		return nil, true
 	}
-	permit := c.limiter.Take(coldKey(backend), bound, now)
+	permit := c.limiter.Acquire(coldKey(backend), bound, now)
 	return permit, permit != nil
 }
 
--- a/internal/gate/cold_test.go
+++ b/internal/gate/cold_test.go
@@ -53,7 +53,7 @@
 	permits := 0
 	for range 100 {
 		if permit, ok := cold.take(cold.of(view, "s", now), view.Backends["i-2"], now); ok {
-			permit.Sent(now)
+			permit.MarkSent(now)
 			permits++
 		}
 	}
--- a/internal/gate/run.go
+++ b/internal/gate/run.go
@@ -235,7 +235,7 @@
 		MatchesRequest: r.ownAnswer,
 		MaxConnections: r.maxConnections(placed.backend),
 		BeforeSend:     func() error { return r.checkBeforeSend(ctx, placed.backend) },
-		OnSend:         func() { placed.permit.Sent(boottime.Now()) },
+		OnSend:         func() { placed.permit.MarkSent(boottime.Now()) },
 	}
 }
 
--- a/internal/slowstart/limiter.go
+++ b/internal/slowstart/limiter.go
@@ -90,8 +90,8 @@
 	return &Limiter{fleet: fleet, servers: make(map[uint64]*server)}
 }
 
-// Open tells whether a request may be sent to the cold server with the key now.
-func (l *Limiter) Open(key uint64, bound Bound, now boottime.Instant) bool {
+// CanAcquire tells whether a request may be sent to the cold server with the key now.
+func (l *Limiter) CanAcquire(key uint64, bound Bound, now boottime.Instant) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.room(l.server(key, now), key, bound, now)
@@ -105,9 +105,9 @@
 	done    bool // guarded by the limiter's lock
 }
 
-// Take returns the permit for one request to the cold server with the key, nil if
+// Acquire returns the permit for one request to the cold server with the key, nil if
 // there is none left.
-func (l *Limiter) Take(key uint64, bound Bound, now boottime.Instant) *Permit {
+func (l *Limiter) Acquire(key uint64, bound Bound, now boottime.Instant) *Permit {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	entry := l.server(key, now)
@@ -118,10 +118,10 @@
 	return &Permit{limiter: l, key: key}
 }
 
-// Sent notes that the request is being sent at the moment. The moment of the decision
+// MarkSent notes that the request is being sent at the moment. The moment of the decision
 // would not do: on a busy processor some requests wait for a second between the two,
 // and then leave together.
-func (p *Permit) Sent(now boottime.Instant) {
+func (p *Permit) MarkSent(now boottime.Instant) {
 	p.end(func(entry *server) {
 		entry.sent = append(entry.sent, now)
 		entry.used = now
--- a/internal/slowstart/limiter_test.go
+++ b/internal/slowstart/limiter_test.go
@@ -80,7 +80,7 @@
 	var held []*Permit
 	now := start
 	for {
-		permit := limiter.Take(7, bound, now)
+		permit := limiter.Acquire(7, bound, now)
 		if permit == nil {
 			break
 		}
@@ -90,16 +90,16 @@
 		t.Fatalf("%d permits, want %d", len(held), bound.Usable())
 	}
 	now = now.Add(5 * time.Second) // none was sent meanwhile
-	if limiter.Open(7, bound, now) {
+	if limiter.CanAcquire(7, bound, now) {
 		t.Error("permits that are not used yet have expired")
 	}
 	for _, permit := range held {
-		permit.Sent(now)
+		permit.MarkSent(now)
 	}
-	if limiter.Open(7, bound, now.Add(time.Second)) {
+	if limiter.CanAcquire(7, bound, now.Add(time.Second)) {
 		t.Error("one more within a second of the sends")
 	}
-	if !limiter.Open(7, bound, now.Add(window+time.Millisecond)) {
+	if !limiter.CanAcquire(7, bound, now.Add(window+time.Millisecond)) {
 		t.Error("none after the window")
 	}
 }
@@ -107,22 +107,22 @@
 func TestReleasedPermitsAreFreeAgain(t *testing.T) {
 	limiter := NewLimiter(soleFleet())
 	for range 3 * bound.Usable() {
-		permit := limiter.Take(7, bound, start)
+		permit := limiter.Acquire(7, bound, start)
 		if permit == nil {
 			t.Fatal("a released permit is lost")
 		}
 		permit.Release()
 		permit.Release()
 	}
-	permit := limiter.Take(7, bound, start)
-	permit.Sent(start)
+	permit := limiter.Acquire(7, bound, start)
+	permit.MarkSent(start)
 	permit.Release() // the answer has come
 	for range bound.Usable() - 1 {
-		if limiter.Take(7, bound, start) == nil {
+		if limiter.Acquire(7, bound, start) == nil {
 			t.Fatal("a permit that was sent counts twice")
 		}
 	}
-	if limiter.Take(7, bound, start) != nil {
+	if limiter.Acquire(7, bound, start) != nil {
 		t.Error("the release of a permit that was sent freed it")
 	}
 }
@@ -131,7 +131,7 @@
 func TestUnsettledRouterSendsNothing(t *testing.T) {
 	fleet := soleFleet()
 	fleet.settled = false
-	if NewLimiter(fleet).Open(7, bound, start) {
+	if NewLimiter(fleet).CanAcquire(7, bound, start) {
 		t.Error("a router that knows nobody may send")
 	}
 }
@@ -176,7 +176,7 @@
 			continue
 		}
 		for range rapid.IntRange(0, 2).Draw(t, "callers") {
-			if permit := router.limiter.Take(7, bound, s.now); permit != nil {
+			if permit := router.limiter.Acquire(7, bound, s.now); permit != nil {
 				router.waiting = append(router.waiting, permit)
 			}
 		}
@@ -188,7 +188,7 @@
 
 func (s *simulation) flush(router *simRouter) {
 	for _, permit := range router.waiting {
-		permit.Sent(s.now)
+		permit.MarkSent(s.now)
 		s.sent = append(s.sent, s.now)
 	}
 	router.waiting = nil
