--- a/internal/gate/admission.go
+++ b/internal/gate/admission.go
@@ -24,9 +24,9 @@
 	pending float64 // prompt tokens waiting there, this request's included
 	model   bool
 	tier    policy.Tier // which of its account's sums the request counts in
-	// holder is the address of an engine that probably keeps shared parts
+	// fetchSource is the address of an engine that probably keeps shared parts
 	// which the chosen one lacks, "" for none.
-	holder fleet.Address
+	fetchSource fleet.Address
 	// permit is that of a cold backend server, nil for a warm one.
 	permit *slowstart.Permit
 	// plain is the place at a plain server under admission control, else nil.
@@ -37,16 +37,16 @@
 // admission decides which request is sent where. Its methods may be called
 // concurrently.
 type admission struct {
-	settings *currentSettings
-	zone     fleet.Zone
-	loads    *loads
-	peers    Peers
-	kept     *keptParts
-	lists    *listCache
-	cold     *coldServers
-	closures *closures
-	paces    *paces
-	plain    *plainServers
+	settings    *currentSettings
+	zone        fleet.Zone
+	loads       *loads
+	peers       Peers
+	kept        *keptParts
+	lists       *listCache
+	cold        *coldServers
+	unavailable *unavailableServers
+	paces       *paces
+	plain       *plainServers
 
 	mu     sync.Mutex
 	ledger *shares.Ledger
@@ -56,22 +56,22 @@
 func newAdmission(settings *currentSettings, zone fleet.Zone, peers Peers) *admission {
 	loads := newLoads()
 	return &admission{
-		settings: settings,
-		zone:     zone,
-		loads:    loads,
-		peers:    peers,
-		kept:     newKeptParts(),
-		lists:    newListCache(),
-		cold:     newColdServers(settings, peers),
-		closures: newClosures(),
-		paces:    newPaces(settings, loads, peers),
-		plain:    newPlainServers(),
-		ledger:   shares.NewLedger(),
+		settings:    settings,
+		zone:        zone,
+		loads:       loads,
+		peers:       peers,
+		kept:        newKeptParts(),
+		lists:       newListCache(),
+		cold:        newColdServers(settings, peers),
+		unavailable: newUnavailableServers(),
+		paces:       newPaces(settings, loads, peers),
+		plain:       newPlainServers(),
+		ledger:      shares.NewLedger(),
 	}
 }
 
-// asked counts a request that has arrived.
-func (a *admission) asked(request *Request) {
+// recordRequest counts a request that has arrived.
+func (a *admission) recordRequest(request *Request) {
 	if !request.takesShare() {
 		return
 	}
@@ -80,18 +80,18 @@
 	a.ledger.AddRequested(request.Account.Name, request.Prompt.Cost(), boottime.Now())
 }
 
-// owed tells whether the request's account has had less than its share. Requests
+// withinShare tells whether the request's account has had less than its share. Requests
 // to plain services are, as they take none of what is shared.
-func (a *admission) owed(request *Request, view *knowledge.View) bool {
+func (a *admission) withinShare(request *Request, view *knowledge.View) bool {
 	if request.Prompt.Tokens == 0 {
 		return true
 	}
 	return a.standing(request, view.Index.Configuration.Limits.TokensPerSecond, boottime.Now()).WithinShare()
 }
 
-// shut notes that a request was turned away for another reason than what its
+// recordUnrelatedRefusal notes that a request was turned away for another reason than what its
 // engines can do: what accounts get meanwhile says nothing of the engines.
-func (a *admission) shut(request *Request) {
+func (a *admission) recordUnrelatedRefusal(request *Request) {
 	if !request.takesShare() {
 		return
 	}
@@ -108,7 +108,7 @@
 	sound := a.sound(view, request.Service, excluded, now)
 	usable := a.cold.open(cold, sound, now)
 	if len(usable) == 0 {
-		a.shut(request)
+		a.recordUnrelatedRefusal(request)
 		return nil, a.refuseAll(request, view, len(sound), now)
 	}
 	placed, refusal := a.placeAmong(request, view, usable, len(excluded) > 0)
@@ -119,7 +119,7 @@
 	if !ok {
 		// Another request has just taken the last permit, so that the next look
 		// finds this backend server closed.
-		a.ended(request, placed, false)
+		a.release(request, placed, false)
 		return a.place(request, view, excluded)
 	}
 	placed.permit = permit
@@ -169,9 +169,9 @@
 	return placed
 }
 
-// began notes the first event of a placed request after the time since it was
+// recordFirstEvent notes the first event of a placed request after the time since it was
 // sent.
-func (a *admission) began(request *Request, placed *placement, took time.Duration) {
+func (a *admission) recordFirstEvent(request *Request, placed *placement, took time.Duration) {
 	if !placed.model || placed.load.Pending == 0 {
 		return
 	}
@@ -183,20 +183,20 @@
 	placed.load.Pending = 0
 }
 
-// delivered notes the end of a stream that came whole. late tells that its first
+// recordStreamEnd notes the end of a stream that came whole. late tells that its first
 // event or a later one missed what the route promises. It is not called while the
 // router's own processor may have made the answer late: that says nothing of the
 // engines, and lower budgets would refuse requests whose engines have room. For the
 // same reason an engine that is still cold does not count.
-func (a *admission) delivered(service fleet.Service, placed *placement, late bool) {
+func (a *admission) recordStreamEnd(service fleet.Service, placed *placement, late bool) {
 	if placed.permit == nil {
 		a.loads.noteLate(service, late)
 		a.paces.streamed(placed.backend, late)
 	}
 }
 
-// ended counts a placed request out. ran is false when it did not run.
-func (a *admission) ended(request *Request, placed *placement, ran bool) {
+// release counts a placed request out. ran is false when it did not run.
+func (a *admission) release(request *Request, placed *placement, ran bool) {
 	if placed.plain != nil {
 		a.leavePlain(placed, ran)
 	} else {
--- a/internal/gate/await.go
+++ b/internal/gate/await.go
@@ -14,7 +14,7 @@
 	// startupWait is how long a request waits at a router that has just started for the
 	// first answers of the store or of other routers. A refusal would cost the caller one
 	// of few tries and bring it back later than that.
-	startupWait = startRetry
+	startupWait = startRetryAfter
 	// startupPollInterval is the pause between two looks at what is known.
 	startupPollInterval = 5 * time.Millisecond
 )
--- a/internal/gate/budget.go
+++ b/internal/gate/budget.go
@@ -59,8 +59,8 @@
 	return known
 }
 
-// earn counts a request to the service.
-func (b *retryBudget) earn(service fleet.Service) {
+// credit counts a request to the service.
+func (b *retryBudget) credit(service fleet.Service) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	known := b.bucket(service)
--- a/internal/gate/candidates.go
+++ b/internal/gate/candidates.go
@@ -13,7 +13,7 @@
 func (a *admission) sound(view *knowledge.View, service fleet.Service, excluded map[string]bool, now boottime.Instant) []*knowledge.Backend {
 	serving := view.Serving[service]
 	shunned := a.loads.shunnedNow(now)
-	closed := a.closures.at(now)
+	closed := a.unavailable.at(now)
 	if len(excluded)+len(view.MissingSince)+len(shunned)+len(closed) == 0 {
 		return serving
 	}
@@ -53,8 +53,8 @@
 // opens returns when the first closed backend server of the service takes requests again,
 // 0 if none will or one that is not closed is there.
 func (a *admission) opens(view *knowledge.View, service fleet.Service, now boottime.Instant) boottime.Instant {
-	closed := a.closures.at(now)
-	first := forGood
+	closed := a.unavailable.at(now)
+	first := indefinitely
 	for _, backend := range view.Serving[service] {
 		until, isClosed := closed[backend.Incarnation]
 		if !isClosed {
@@ -62,7 +62,7 @@
 		}
 		first = min(first, until)
 	}
-	if first == forGood {
+	if first == indefinitely {
 		return 0
 	}
 	return first
--- a/internal/gate/closures.go
+++ b/internal/gate/closures.go
@@ -11,35 +11,37 @@
 )
 
 const (
-	// forGood is the end of a closure of a backend server that leaves.
-	forGood = boottime.Instant(math.MaxInt64)
+	// indefinitely is the end of a closure of a backend server that leaves.
+	indefinitely = boottime.Instant(math.MaxInt64)
 	// closureLife is how long a closure is remembered of a backend server that is no
 	// longer listed: longer than entries take that lapse in an outage of the store and
 	// are written again.
 	closureLife = time.Minute
 )
 
-// closure tells that a backend server wants nothing new.
-type closure struct {
+// unavailability tells that a backend server wants nothing new.
+type unavailability struct {
 	until   boottime.Instant
 	missing boottime.Instant // since when the backend server is not listed, 0 if it is
 }
 
-// closures are the backend servers that have said in their answers that they want nothing
+// unavailableServers are the backend servers that have said in their answers that they want nothing
 // new, by their incarnations. The store may tell that one leaves much later: while it is
 // away, answers are the only word of it, and a router that does not heed them goes on
 // sending requests to a server that ends under them. Its methods may be called
 // concurrently.
-type closures struct {
+type unavailableServers struct {
 	mu    sync.Mutex
-	known map[string]closure
+	known map[string]unavailability
 }
 
-func newClosures() *closures { return &closures{known: make(map[string]closure)} }
+func newUnavailableServers() *unavailableServers {
+	return &unavailableServers{known: make(map[string]unavailability)}
+}
 
 // add notes that a backend server wants nothing until the moment. It returns whether it
 // was open before.
-func (c *closures) add(incarnation string, until, now boottime.Instant) bool {
+func (c *unavailableServers) add(incarnation string, until, now boottime.Instant) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	known := c.known[incarnation]
@@ -51,7 +53,7 @@
 
 // at returns until when backend servers are closed at the moment, by incarnation, nil if
 // none is.
-func (c *closures) at(now boottime.Instant) map[string]boottime.Instant {
+func (c *unavailableServers) at(now boottime.Instant) map[string]boottime.Instant {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var closed map[string]boottime.Instant
@@ -69,14 +71,14 @@
 }
 
 // has tells whether a backend server is closed at the moment.
-func (c *closures) has(incarnation string, now boottime.Instant) bool {
+func (c *unavailableServers) has(incarnation string, now boottime.Instant) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return now < c.known[incarnation].until
 }
 
-// keep forgets backend servers that have not been listed for long.
-func (c *closures) keep(backends map[string]*knowledge.Backend, now boottime.Instant) {
+// prune forgets backend servers that have not been listed for long.
+func (c *unavailableServers) prune(backends map[string]*knowledge.Backend, now boottime.Instant) {
 	listed := make(map[string]bool, len(backends))
 	for _, backend := range backends {
 		listed[backend.Incarnation] = true
@@ -92,7 +94,7 @@
 		}
 		c.known[incarnation] = known
 	}
-	maps.DeleteFunc(c.known, func(_ string, known closure) bool {
+	maps.DeleteFunc(c.known, func(_ string, known unavailability) bool {
 		return known.missing != 0 && now.Sub(known.missing) > closureLife
 	})
 }
--- a/internal/gate/closures_test.go
+++ b/internal/gate/closures_test.go
@@ -13,37 +13,37 @@
 // Requests would reach a backend server again that has said that it leaves: its entry
 // lapsed in an outage of the store, and is back with the next heartbeat.
 func TestClosureOutlastsALapsedEntry(t *testing.T) {
-	known := newClosures()
+	known := newUnavailableServers()
 	now := boottime.Now()
 	listed := map[string]*knowledge.Backend{"a": {ID: "a", Incarnation: "a@1"}}
-	known.add("a@1", forGood, now)
-	known.keep(listed, now)
-	known.keep(nil, now.Add(time.Hour)) // the first list without it in an hour
-	known.keep(nil, now.Add(time.Hour+2*time.Second))
-	known.keep(listed, now.Add(time.Hour+4*time.Second))
-	if closed := known.at(now.Add(2 * time.Hour)); closed["a@1"] != forGood {
+	known.add("a@1", indefinitely, now)
+	known.prune(listed, now)
+	known.prune(nil, now.Add(time.Hour)) // the first list without it in an hour
+	known.prune(nil, now.Add(time.Hour+2*time.Second))
+	known.prune(listed, now.Add(time.Hour+4*time.Second))
+	if closed := known.at(now.Add(2 * time.Hour)); closed["a@1"] != indefinitely {
 		t.Errorf("%v are closed", closed)
 	}
 }
 
 // What is remembered is bounded, and says nothing of a server that starts again.
 func TestClosureEndsWithItsServer(t *testing.T) {
-	known := newClosures()
+	known := newUnavailableServers()
 	now := boottime.Now()
-	known.add("a@1", forGood, now)
+	known.add("a@1", indefinitely, now)
 	again := map[string]*knowledge.Backend{"a": {ID: "a", Incarnation: "a@2"}}
-	known.keep(again, now)
+	known.prune(again, now)
 	if closed := known.at(now); closed["a@2"] != 0 {
 		t.Error("closed after it has started again")
 	}
-	known.keep(again, now.Add(closureLife+time.Second))
+	known.prune(again, now.Add(closureLife+time.Second))
 	if closed := known.at(now.Add(closureLife + time.Second)); len(closed) != 0 {
 		t.Errorf("%v are remembered", closed)
 	}
 }
 
 func TestClosureEndsInTime(t *testing.T) {
-	known := newClosures()
+	known := newUnavailableServers()
 	now := boottime.Now()
 	if !known.add("a", now.Add(time.Second), now) {
 		t.Error("closed before it was added")
@@ -69,7 +69,7 @@
 		t.Errorf("an open server: %v", err)
 	}
 	now := boottime.Now()
-	admission.closures.add("a", now.Add(time.Minute), now)
+	admission.unavailable.add("a", now.Add(time.Minute), now)
 	if err := run.checkBeforeSend(t.Context(), backend); !errors.Is(err, errRejecting) {
 		t.Errorf("a closed server: %v", err)
 	}
--- a/internal/gate/cold.go
+++ b/internal/gate/cold.go
@@ -104,8 +104,8 @@
 	return until
 }
 
-// warn tells that a backend server may be cold for the time.
-func (c *coldServers) warn(incarnation string, left time.Duration) {
+// markCold tells that a backend server may be cold for the time.
+func (c *coldServers) markCold(incarnation string, left time.Duration) {
 	if left <= 0 {
 		return
 	}
@@ -121,11 +121,11 @@
 	clear(c.services)
 }
 
-// mayRestart tells that no connection to the backend server could be opened. It may
+// assumeRestart tells that no connection to the backend server could be opened. It may
 // start again behind a cut, under its id, without an entry that tells so.
-func (c *coldServers) mayRestart(view *knowledge.View, backend *knowledge.Backend) {
+func (c *coldServers) assumeRestart(view *knowledge.View, backend *knowledge.Backend) {
 	if settings := view.Index.Service(backend.Service); settings != nil && settings.ColdRate > 0 {
-		c.warn(backend.Incarnation, brokenShun+settings.ColdStart)
+		c.markCold(backend.Incarnation, brokenShun+settings.ColdStart)
 	}
 }
 
--- a/internal/gate/cold_test.go
+++ b/internal/gate/cold_test.go
@@ -116,16 +116,16 @@
 func TestServerMayBeColdAfterBrokenConnections(t *testing.T) {
 	cold := newColdServers(coldSettings(), noPeers{})
 	view, now := coldState(0).View(), boottime.Now()
-	cold.warn("i-1", 0) // an answer that says nothing
+	cold.markCold("i-1", 0) // an answer that says nothing
 	if isCold(cold, view, "i-1", now) {
 		t.Error("cold without a reason")
 	}
-	cold.mayRestart(view, view.Backends["i-1"])
-	cold.mayRestart(view, view.Backends["i-3"])
+	cold.assumeRestart(view, view.Backends["i-1"])
+	cold.assumeRestart(view, view.Backends["i-3"])
 	if !isCold(cold, view, "i-1", boottime.Now()) || isCold(cold, view, "i-3", boottime.Now()) {
 		t.Error("a server whose connections can't be opened")
 	}
-	cold.warn("i-2", time.Second)
+	cold.markCold("i-2", time.Second)
 	if !isCold(cold, view, "i-2", boottime.Now()) {
 		t.Error("a server that says in an answer that it is cold")
 	}
--- a/internal/gate/decisions_test.go
+++ b/internal/gate/decisions_test.go
@@ -87,7 +87,7 @@
 	for range fleetSize {
 		budget := newRetryBudget(settings, routers(fleetSize))
 		for range 100 {
-			budget.earn("s")
+			budget.credit("s")
 			for budget.spend("s") {
 				total++
 			}
@@ -151,7 +151,7 @@
 	loads := newLoads()
 	now := boottime.Now()
 	for range 10 {
-		loads.answered("i", false, 0)
+		loads.recordAnswer("i", false, 0)
 	}
 	if !loads.shunnedNow(now)["i"] {
 		t.Error("it is not shunned")
@@ -160,7 +160,7 @@
 		t.Error("it is never tried again")
 	}
 	for i := range 50 {
-		loads.answered("j", i%7 != 0, time.Millisecond)
+		loads.recordAnswer("j", i%7 != 0, time.Millisecond)
 	}
 	if loads.shunnedNow(now)["j"] {
 		t.Error("a seventh of failures is usual for some services")
@@ -178,7 +178,7 @@
 	if got, _ := loads.get("i"); got != (BackendLoad{}) {
 		t.Errorf("%+v is left", got)
 	}
-	loads.keep(map[string]*knowledge.Backend{})
+	loads.prune(map[string]*knowledge.Backend{})
 	if got := len(loads.snapshot()); got != 0 {
 		t.Errorf("%d are told to others", got)
 	}
--- a/internal/gate/dialect.go
+++ b/internal/gate/dialect.go
@@ -58,8 +58,8 @@
 	MalformedLoad bool
 }
 
-// sound tells whether a success with this header is the backend server's own
+// genuine tells whether a success with this header is the backend server's own
 // whole answer to the request.
-func (r Reply) sound(request *Request) bool {
+func (r Reply) genuine(request *Request) bool {
 	return r.Signed && !r.Encoded && r.ID == request.ID
 }
--- a/internal/gate/handler.go
+++ b/internal/gate/handler.go
@@ -101,19 +101,19 @@
 	}
 	request.Received = received
 	if refusal := identify(request, view, h.settings.get().Freshness, rand.Float64()); refusal != nil {
-		h.admission.shut(request)
+		h.admission.recordUnrelatedRefusal(request)
 		h.refuse(w, request, *refusal)
 		return
 	}
 	if !h.drain.accepts(request, received) {
-		h.admission.shut(request)
+		h.admission.recordUnrelatedRefusal(request)
 		h.refuse(w, request, drainRefusal())
 		return
 	}
 	// What is refused counts too: the others would else use the account's part.
-	h.admission.asked(request)
-	h.requestLog.tally.asked(request)
-	owed := func() bool { return h.admission.owed(request, view) }
+	h.admission.recordRequest(request)
+	h.requestLog.tally.addRequested(request)
+	owed := func() bool { return h.admission.withinShare(request, view) }
 	if !h.lag.accepts(received, owed, rand.Float64()) {
 		// Requests in progress would not get on if more were taken.
 		retry := h.admission.retryAfter(request)
@@ -167,7 +167,7 @@
 		return 0, &Refusal{Status: http.StatusRequestEntityTooLarge, Reason: ReasonBodyTooLarge}
 	}
 	if h.bodyBytes.Add(counted) > h.settings.get().BodyMemory {
-		return counted, &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonMemory, RetryAfter: startRetry}
+		return counted, &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonMemory, RetryAfter: startRetryAfter}
 	}
 	control := http.NewResponseController(w)
 	_ = control.SetReadDeadline(time.Now().Add(request.Timeout)) // as in bound
@@ -195,7 +195,7 @@
 
 // serve sends an identified request to a backend server.
 func (h *handler) serve(ctx context.Context, w http.ResponseWriter, request *Request) {
-	h.budget.earn(request.Service)
+	h.budget.credit(request.Service)
 	if refusal := h.awaitVerdicts(ctx, request); refusal != nil {
 		h.refuse(w, request, *refusal)
 		return
--- a/internal/gate/identify.go
+++ b/internal/gate/identify.go
@@ -75,15 +75,15 @@
 	DenialMaxAge time.Duration
 }
 
-// startRetry is the time to come back that a router tells while it does not
+// startRetryAfter is the time to come back that a router tells while it does not
 // know enough: as long as a first answer of the store takes, and some more.
-const startRetry = 300 * time.Millisecond
+const startRetryAfter = 300 * time.Millisecond
 
 // identify finds the route, the account and the service of a request, or the
 // refusal. point in [0, 1) chooses among the services of a split route.
 func identify(request *Request, view *knowledge.View, fresh Freshness, point float64) *Refusal {
 	if !view.Ready() {
-		return &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonNoKnowledge, RetryAfter: startRetry}
+		return &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonNoKnowledge, RetryAfter: startRetryAfter}
 	}
 	age := boottime.Now().Sub(view.ConfigurationConfirmedAt)
 	request.Route = view.Index.Route(request.Host, request.Path)
@@ -98,12 +98,12 @@
 		// The key may have been withdrawn since. Nothing shows that to a
 		// router that the store does not reach but the age of what it knows.
 		if age > fresh.KeyMaxAge {
-			return &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonStaleConfiguration, RetryAfter: startRetry}
+			return &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonStaleConfiguration, RetryAfter: startRetryAfter}
 		}
 	}
 	service, ok := request.Route.Destination(point)
 	if !ok {
-		return &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonNoBackend, RetryAfter: startRetry}
+		return &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonNoBackend, RetryAfter: startRetryAfter}
 	}
 	request.Service = service
 	request.Timeout = limit(request)
@@ -114,7 +114,7 @@
 // router that may have missed a configuration does not deny for good.
 func unknown(status int, reason Reason, age time.Duration, fresh Freshness) *Refusal {
 	if age > fresh.DenialMaxAge {
-		return &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonStaleConfiguration, RetryAfter: startRetry}
+		return &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonStaleConfiguration, RetryAfter: startRetryAfter}
 	}
 	return &Refusal{Status: status, Reason: reason}
 }
--- a/internal/gate/keptparts_test.go
+++ b/internal/gate/keptparts_test.go
@@ -26,16 +26,16 @@
 	if refusal != nil || placed.backend != second {
 		t.Fatalf("placed %+v, refused %+v; want the second engine", placed, refusal)
 	}
-	a.began(request, placed, 1)
-	a.ended(request, placed, true)
+	a.recordFirstEvent(request, placed, 1)
+	a.release(request, placed, true)
 	a.loads.end(first.Incarnation, full)
 	a.loads.begin(second.Incarnation, full)
 	placed, refusal = a.place(request, view, nil)
 	if refusal != nil || placed.backend != first {
 		t.Fatalf("placed %+v, refused %+v; want the first engine", placed, refusal)
 	}
-	if placed.holder != second.Address {
-		t.Errorf("parts are fetched from %q, want %q", placed.holder, second.Address)
+	if placed.fetchSource != second.Address {
+		t.Errorf("parts are fetched from %q, want %q", placed.fetchSource, second.Address)
 	}
 }
 
--- a/internal/gate/loads.go
+++ b/internal/gate/loads.go
@@ -198,8 +198,8 @@
 	state.load.Memory -= load.Memory
 }
 
-// answered notes an answer and how long it took.
-func (l *loads) answered(id string, sound bool, took time.Duration) {
+// recordAnswer notes an answer and how long it took.
+func (l *loads) recordAnswer(id string, sound bool, took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	state := l.state(id)
@@ -222,9 +222,9 @@
 	}
 }
 
-// broken notes that no connection to the backend server could be opened or
+// recordConnectionFailure notes that no connection to the backend server could be opened or
 // that one broke.
-func (l *loads) broken(id string) {
+func (l *loads) recordConnectionFailure(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.shunned[id] = boottime.Now().Add(brokenShun)
@@ -272,8 +272,8 @@
 	return loaded
 }
 
-// keep forgets backend servers that are no longer listed.
-func (l *loads) keep(backends map[string]*knowledge.Backend) {
+// prune forgets backend servers that are no longer listed.
+func (l *loads) prune(backends map[string]*knowledge.Backend) {
 	listed := make(map[string]bool, len(backends))
 	for _, backend := range backends {
 		listed[backend.Incarnation] = true
--- a/internal/gate/manager.go
+++ b/internal/gate/manager.go
@@ -64,8 +64,8 @@
 		metrics:       newMetrics(options.Registerer),
 		lag:           newLagMeter(options.Logger, options.Registerer),
 	}
-	admission.paces.watch(options.Logger, options.Registerer)
-	admission.plain.waits = h.metrics.plainWait
+	admission.paces.export(options.Logger, options.Registerer)
+	admission.plain.observeWait = h.metrics.plainWait
 	entry := newAcceptor(h, options.Connections, h.lag, drain)
 	h.closeAfterAnswer = entry.closeAfterAnswer
 	return &Manager{options: options, handler: h, acceptor: entry, connectionStats: connections}
@@ -122,10 +122,10 @@
 	m.logEvacuations(before, view)
 	m.logBackends(before, view)
 	m.closeReplaced(before, view)
-	m.handler.admission.loads.keep(view.Backends)
-	m.handler.admission.paces.keep(view.Backends)
-	m.handler.admission.plain.keep(view.Backends, boottime.Now())
-	m.handler.admission.closures.keep(view.Backends, boottime.Now())
+	m.handler.admission.loads.prune(view.Backends)
+	m.handler.admission.paces.setBackends(view.Backends)
+	m.handler.admission.plain.prune(view.Backends, boottime.Now())
+	m.handler.admission.unavailable.prune(view.Backends, boottime.Now())
 }
 
 const (
--- a/internal/gate/near_test.go
+++ b/internal/gate/near_test.go
@@ -96,8 +96,8 @@
 		if got.backend.ID != want.backend.ID || got.backend.Zone == near.zone {
 			t.Errorf("part %d is placed at %s, want %s", part, got.backend.ID, want.backend.ID)
 		}
-		near.ended(near.request, got, true)
-		everywhere.ended(everywhere.request, want, true)
+		near.release(near.request, got, true)
+		everywhere.release(everywhere.request, want, true)
 	}
 }
 
@@ -137,7 +137,7 @@
 		if placed.backend.ID != withRoom {
 			t.Fatalf("part %d is placed at %s, which is full", part, placed.backend.ID)
 		}
-		f.ended(f.request, placed, true)
+		f.release(f.request, placed, true)
 	}
 }
 
@@ -147,7 +147,7 @@
 	f := newZonedFleet(true)
 	for part := range 20 {
 		for range 3 {
-			f.ended(f.request, f.place(t, part), true)
+			f.release(f.request, f.place(t, part), true)
 		}
 		if !f.kept.asked(f.request.Prompt.SharedSegment(), boottime.Now()) {
 			t.Errorf("part %d does not count as asked often", part)
--- a/internal/gate/paces.go
+++ b/internal/gate/paces.go
@@ -69,8 +69,8 @@
 // enabled tells whether the settings ask for paces.
 func (p *paces) enabled() bool { return p.settings.get().Engines.Pace }
 
-// heed takes what a backend server tells of its load with an answer.
-func (p *paces) heed(backend *knowledge.Backend, reply Reply, now boottime.Instant) {
+// recordReport takes what a backend server tells of its load with an answer.
+func (p *paces) recordReport(backend *knowledge.Backend, reply Reply, now boottime.Instant) {
 	if !p.enabled() {
 		return
 	}
@@ -247,8 +247,8 @@
 	p.listed = listed
 }
 
-// keep takes the list of backend servers and forgets those that are not on it.
-func (p *paces) keep(backends map[string]*knowledge.Backend) {
+// setBackends takes the list of backend servers and forgets those that are not on it.
+func (p *paces) setBackends(backends map[string]*knowledge.Backend) {
 	listed := make(map[uint32]*knowledge.Backend, len(backends))
 	hashes := make(map[uint32]bool, len(backends))
 	for _, backend := range backends {
--- a/internal/gate/paces_test.go
+++ b/internal/gate/paces_test.go
@@ -44,14 +44,14 @@
 	settings := newCurrentSettings(Settings{Admission: policy.Defaults(), Engines: EngineSettings{Pace: enabled}})
 	f := &pacedFleet{admission: newAdmission(settings, "z", peers), peers: peers}
 	backends := state.View().Backends
-	f.paces.keep(backends)
+	f.paces.setBackends(backends)
 	f.fast, f.slow, f.another = backends["fast"], backends["slow"], backends["another"]
 	return f
 }
 
 // tell lets a backend server tell its work time with an answer.
 func (f *pacedFleet) tell(backend *knowledge.Backend, workTime float64) {
-	f.paces.heed(backend, Reply{Load: pace.Report{Slots: 48, WorkTime: workTime}}, boottime.Now())
+	f.paces.recordReport(backend, Reply{Load: pace.Report{Slots: 48, WorkTime: workTime}}, boottime.Now())
 	f.due()
 }
 
@@ -66,7 +66,7 @@
 func (f *pacedFleet) begins(backend *knowledge.Backend, tokens float64, took time.Duration) {
 	request := &Request{Service: backend.Service}
 	placed := &placement{backend: backend, load: BackendLoad{Running: 1, Pending: tokens}, pending: tokens, model: true}
-	f.began(request, placed, took)
+	f.recordFirstEvent(request, placed, took)
 	f.due()
 }
 
@@ -76,7 +76,7 @@
 	f.peers.paces = map[uint32]pace.Observation{f.slow.IncarnationHash: {Usual: 3}}
 	f.tell(f.fast, 0.5)
 	f.begins(f.fast, 10_000, time.Second)
-	f.delivered("s", &placement{backend: f.fast}, true)
+	f.recordStreamEnd("s", &placement{backend: f.fast}, true)
 	if f.paces.enabled() || f.paces.told("s") || f.paces.own(boottime.Now()) != nil || f.enginePaces() != nil {
 		t.Error("something is told of paces")
 	}
@@ -94,7 +94,7 @@
 // differently as soon as the switch is on.
 func TestServiceThatTellsNothingIsUnchanged(t *testing.T) {
 	f := newPacedFleet(t, true)
-	f.paces.heed(f.fast, Reply{Load: pace.Report{Running: 3, Slots: 48}}, boottime.Now())
+	f.paces.recordReport(f.fast, Reply{Load: pace.Report{Running: 3, Slots: 48}}, boottime.Now())
 	f.tell(f.another, 2)
 	f.begins(f.fast, 10_000, time.Second)
 	if f.paces.told("s") || !f.paces.told("plain") {
@@ -237,7 +237,7 @@
 func TestPacesOfServersThatAreNotListedAreForgotten(t *testing.T) {
 	f := newPacedFleet(t, true)
 	f.tell(f.fast, 0.5)
-	f.paces.keep(map[string]*knowledge.Backend{"slow": f.slow})
+	f.paces.setBackends(map[string]*knowledge.Backend{"slow": f.slow})
 	f.due()
 	if got := f.paces.engine(f.fast.IncarnationHash); got.HasReport || f.paces.told("s") || f.paces.own(boottime.Now()) != nil {
 		t.Errorf("%+v is kept", got)
@@ -250,7 +250,7 @@
 	f := newPacedFleet(t, true)
 	logger, hook := logrustest.NewNullLogger()
 	registry := prometheus.NewRegistry()
-	f.paces.watch(logger, registry)
+	f.paces.export(logger, registry)
 	h := &handler{admission: f.admission, requestLog: newRequestLog(logger, knowledge.NewState(), nil)}
 	report := pace.Report{Slots: 48, WorkTime: 0.5}
 	h.observeReply(f.fast, Reply{Load: report, Replaced: true})
@@ -321,7 +321,7 @@
 	f := newPacedFleet(t, true)
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
-	f.paces.watch(logger, prometheus.NewRegistry())
+	f.paces.export(logger, prometheus.NewRegistry())
 	var group sync.WaitGroup
 	for i := range 8 {
 		group.Go(func() {
@@ -331,7 +331,7 @@
 				f.paces.streamed(f.fast, i%2 == 0)
 				f.paces.own(boottime.Now())
 				f.enginePaces()
-				f.paces.keep(map[string]*knowledge.Backend{"fast": f.fast, "slow": f.slow})
+				f.paces.setBackends(map[string]*knowledge.Backend{"fast": f.fast, "slow": f.slow})
 			}
 		})
 	}
--- a/internal/gate/pacewatch.go
+++ b/internal/gate/pacewatch.go
@@ -43,8 +43,8 @@
 	contradicted bool
 }
 
-// watch lets the paces be told by metrics and records.
-func (p *paces) watch(logger logrus.FieldLogger, registerer prometheus.Registerer) {
+// export lets the paces be told by metrics and records.
+func (p *paces) export(logger logrus.FieldLogger, registerer prometheus.Registerer) {
 	w := &paceWatch{
 		logger: logger,
 		reports: prometheus.NewCounterVec(prometheus.CounterOpts{
--- a/internal/gate/place_bench_test.go
+++ b/internal/gate/place_bench_test.go
@@ -74,10 +74,10 @@
 				a, view, request := benchAdmission(size.backends, size.routers, size.accounts, load)
 				b.ReportAllocs()
 				for b.Loop() {
-					a.asked(request)
+					a.recordRequest(request)
 					placed, refusal := a.place(request, view, nil)
 					if refusal == nil {
-						a.ended(request, placed, false)
+						a.release(request, placed, false)
 					}
 				}
 			})
@@ -99,10 +99,10 @@
 				}
 				b.ReportAllocs()
 				for b.Loop() {
-					a.asked(request)
+					a.recordRequest(request)
 					placed, refusal := a.place(request, view, nil)
 					if refusal == nil {
-						a.ended(request, placed, false)
+						a.release(request, placed, false)
 					}
 				}
 			})
@@ -117,13 +117,13 @@
 	settings.Engines = EngineSettings{Pace: true, OwnZoneFirst: true}
 	settings.Admission.GapShare = 0.7
 	a.settings.set(settings)
-	a.paces.keep(view.Backends)
+	a.paces.setBackends(view.Backends)
 	for i, backend := range view.Serving["s"] {
 		workTime := 1.2
 		if i%4 == 0 {
 			workTime = 0.55
 		}
-		a.paces.heed(backend, Reply{Load: pace.Report{Slots: backend.Slots, WorkTime: workTime}}, boottime.Now())
+		a.paces.recordReport(backend, Reply{Load: pace.Report{Slots: backend.Slots, WorkTime: workTime}}, boottime.Now())
 	}
 }
 
--- a/internal/gate/place_model.go
+++ b/internal/gate/place_model.go
@@ -56,7 +56,7 @@
 		inputs:  inputs,
 	}
 	if a.canFetch(view, request.Service) {
-		placed.holder = a.holder(search, placed.backend, now)
+		placed.fetchSource = a.holder(search, placed.backend, now)
 	}
 	a.enter(request, placed, now)
 	return placed, nil
--- a/internal/gate/plain.go
+++ b/internal/gate/plain.go
@@ -31,12 +31,12 @@
 type plainServers struct {
 	mu     sync.Mutex
 	states map[string]*plainState
-	// waits takes the wait that was expected at a decision.
-	waits func(service fleet.Service, wait time.Duration)
+	// observeWait takes the wait that was expected at a decision.
+	observeWait func(service fleet.Service, wait time.Duration)
 }
 
 func newPlainServers() *plainServers {
-	return &plainServers{states: make(map[string]*plainState), waits: func(fleet.Service, time.Duration) {}}
+	return &plainServers{states: make(map[string]*plainState), observeWait: func(fleet.Service, time.Duration) {}}
 }
 
 // plainPlace is the place of a request at a plain server under admission control.
@@ -91,7 +91,7 @@
 		Jitter:     rand.Float64(),
 		Offset:     rand.IntN(len(servers)),
 	}, servers)
-	a.plain.waits(request.Service, choice.Wait)
+	a.plain.observeWait(request.Service, choice.Wait)
 	backend := usable[choice.Server]
 	inputs := Inputs{Backend: backend.ID, Wait: choice.Wait, Budget: choice.Budget, Plain: true}
 	if !choice.Fits {
@@ -129,9 +129,9 @@
 	return servers, heard
 }
 
-// plainAnswered notes an answer that is no failure of the server. took is the time
+// recordPlainAnswer notes an answer that is no failure of the server. took is the time
 // since the request was sent, and valid tells that the answer is a whole success.
-func (a *admission) plainAnswered(placed *placement, valid bool, took time.Duration) {
+func (a *admission) recordPlainAnswer(placed *placement, valid bool, took time.Duration) {
 	if placed.plain == nil {
 		return
 	}
@@ -164,8 +164,8 @@
 	time.AfterFunc(min(rest, failedCountMost), leave)
 }
 
-// keep forgets plain servers that are no longer listed.
-func (p *plainServers) keep(backends map[string]*knowledge.Backend, now boottime.Instant) {
+// prune forgets plain servers that are no longer listed.
+func (p *plainServers) prune(backends map[string]*knowledge.Backend, now boottime.Instant) {
 	listed := make(map[string]bool, len(backends))
 	for _, backend := range backends {
 		listed[backend.Incarnation] = true
--- a/internal/gate/ranking_test.go
+++ b/internal/gate/ranking_test.go
@@ -27,7 +27,7 @@
 		if refusal != nil {
 			t.Fatalf("%+v", refusal)
 		}
-		a.ended(request, placed, false)
+		a.release(request, placed, false)
 	}
 	kept := [][]*knowledge.Backend{view.Serving["s"], view.ByService["s"]}
 	for key := range a.lists.weighed {
--- a/internal/gate/records.go
+++ b/internal/gate/records.go
@@ -38,14 +38,14 @@
 	failureLimit *rate.Limiter
 	answerLimit  *rate.Limiter
 	dropped      atomic.Int64
-	tally        *tally
+	tally        *requestCounts
 	// inputs returns what the decisions of the moment rest on.
 	inputs func() logrus.Fields
 }
 
 func newRequestLog(logger logrus.FieldLogger, state *knowledge.State, inputs func() logrus.Fields) *requestLog {
 	return &requestLog{
-		tally:        newTally(),
+		tally:        newRequestCounts(),
 		inputs:       inputs,
 		logger:       logger,
 		state:        state,
@@ -110,7 +110,7 @@
 }
 
 func (r *requestLog) refused(request *Request, refusal Refusal) {
-	r.tally.refused(request, refusal.Reason)
+	r.tally.addRefusal(request, refusal.Reason)
 	if !r.allows(r.failureLimit) {
 		return // a flood of refusals builds no records that are then left out
 	}
@@ -191,12 +191,12 @@
 
 // streamAborted writes that a stream ends early, by the backend server or the end of draining.
 func (r *requestLog) streamAborted(request *Request, sends int, drained bool) {
-	r.tally.answered(request, false, false)
+	r.tally.addAnswer(request, false, false)
 	r.write(r.failureLimit, event.GateStreamAborted, request, logrus.Fields{"sends": sends, "drained": drained})
 }
 
 func (r *requestLog) callerDisconnected(request *Request) {
-	r.tally.ended(request, func(route *RouteCounts) { route.Disconnected++ })
+	r.tally.addEnd(request, func(route *RouteCounts) { route.Disconnected++ })
 	r.write(r.answerLimit, event.GateCallerDisconnected, request, logrus.Fields{})
 }
 
@@ -221,7 +221,7 @@
 }
 
 func (r *requestLog) answered(request *Request, placed *placement, status, sends int, late bool, err error) {
-	r.tally.answered(request, status < http.StatusMultipleChoices && err == nil, late)
+	r.tally.addAnswer(request, status < http.StatusMultipleChoices && err == nil, late)
 	limiter := r.answerLimit
 	if status >= http.StatusInternalServerError || sends > 1 {
 		limiter = r.failureLimit
--- a/internal/gate/relay_stream.go
+++ b/internal/gate/relay_stream.go
@@ -35,21 +35,21 @@
 // on: one that breaks off can then be made again by another backend server.
 func (r *relay) relayStream(ctx context.Context, placed *placement, answer *backendconn.Answer, reply Reply, sent boottime.Instant) sendOutcome {
 	h := r.handler
-	if !reply.sound(r.request) {
+	if !reply.genuine(r.request) {
 		h.requestLog.badAnswer(r.request, placed.backend, answer.Status)
-		h.admission.loads.answered(placed.backend.Incarnation, false, 0)
+		h.admission.loads.recordAnswer(placed.backend.Incarnation, false, 0)
 		return outcomeBroken
 	}
 	buffer := make([]byte, streamBufferBytes)
 	var partial []byte
-	pace := newStreamPace(r.request)
+	pace := newStreamTiming(r.request)
 	for {
 		n, err := answer.Read(buffer)
 		if n > 0 {
 			now := boottime.Now()
 			h.dataReceived(placed.backend, sent, now)
-			if pace.note(now) {
-				h.admission.began(r.request, placed, now.Sub(sent))
+			if pace.recordEvent(now) {
+				h.admission.recordFirstEvent(r.request, placed, now.Sub(sent))
 				h.metrics.firstEvent(now.Sub(r.request.Received))
 			}
 			partial = append(partial, buffer[:n]...)
@@ -59,7 +59,7 @@
 		}
 		if err == io.EOF {
 			if !h.lag.busy(boottime.Now()) {
-				h.admission.delivered(r.request.Service, placed, pace.late)
+				h.admission.recordStreamEnd(r.request.Service, placed, pace.late)
 			}
 			return r.finishStream(placed, answer, partial, pace.late)
 		}
@@ -114,7 +114,7 @@
 			return r.callerDisconnected()
 		}
 	}
-	r.handler.admission.loads.answered(placed.backend.Incarnation, true, 0)
+	r.handler.admission.loads.recordAnswer(placed.backend.Incarnation, true, 0)
 	r.handler.requestLog.answered(r.request, placed, answer.Status, r.sends, late, nil)
 	r.handler.metrics.answered(answer.Status)
 	return outcomeDone
--- a/internal/gate/relay_whole.go
+++ b/internal/gate/relay_whole.go
@@ -40,12 +40,12 @@
 		return r.answerFailed(ctx, placed, sent, err)
 	}
 	took := boottime.Now().Sub(sent)
-	r.handler.admission.began(r.request, placed, took)
+	r.handler.admission.recordFirstEvent(r.request, placed, took)
 	success := answer.Status < http.StatusMultipleChoices
-	sound := success && reply.sound(r.request)
-	r.handler.admission.loads.answered(placed.backend.Incarnation, sound, took)
+	sound := success && reply.genuine(r.request)
+	r.handler.admission.loads.recordAnswer(placed.backend.Incarnation, sound, took)
 	if sound || !success && answer.Status < http.StatusInternalServerError {
-		r.handler.admission.plainAnswered(placed, sound, took)
+		r.handler.admission.recordPlainAnswer(placed, sound, took)
 	}
 	if success && !sound {
 		r.handler.requestLog.badAnswer(r.request, placed.backend, answer.Status)
--- a/internal/gate/run.go
+++ b/internal/gate/run.go
@@ -62,7 +62,7 @@
 			return
 		}
 		if r.sends > 0 && !r.handler.budget.spend(r.request.Service) {
-			r.handler.admission.ended(r.request, placed, false)
+			r.handler.admission.release(r.request, placed, false)
 			r.finish(ctx, r.failure())
 			return
 		}
@@ -155,11 +155,11 @@
 func (r *relay) send(ctx context.Context, placed *placement) sendOutcome {
 	h := r.handler
 	if callerDisconnected(ctx) {
-		h.admission.ended(r.request, placed, false)
+		h.admission.release(r.request, placed, false)
 		return r.callerDisconnected()
 	}
 	if ctx.Err() != nil {
-		h.admission.ended(r.request, placed, false)
+		h.admission.release(r.request, placed, false)
 		return outcomeUnsent
 	}
 	if placed.model {
@@ -179,15 +179,15 @@
 	}
 	if reply.Refused || reply.Replaced {
 		h.requestLog.declined(r.request, placed.backend, answer.Status, reply.Replaced)
-		h.admission.ended(r.request, placed, false)
+		h.admission.release(r.request, placed, false)
 		if reply.Replaced {
-			h.admission.loads.broken(placed.backend.Incarnation)
+			h.admission.loads.recordConnectionFailure(placed.backend.Incarnation)
 		}
 		r.discardRest(answer)
 		return outcomeDeclined
 	}
 	r.mayHaveRun = true
-	defer h.admission.ended(r.request, placed, true)
+	defer h.admission.release(r.request, placed, true)
 	if r.stream.started && answer.Status >= http.StatusMultipleChoices {
 		// A failure can't follow the first events of a stream.
 		r.discardRest(answer)
@@ -204,13 +204,13 @@
 	if reply.Replaced {
 		return // another server has answered, and it speaks of itself
 	}
-	h.admission.cold.warn(backend.Incarnation, reply.ColdRemaining)
+	h.admission.cold.markCold(backend.Incarnation, reply.ColdRemaining)
 	now := boottime.Now()
-	h.admission.paces.heed(backend, reply, now)
-	if reply.Draining && h.admission.closures.add(backend.Incarnation, forGood, now) {
+	h.admission.paces.recordReport(backend, reply, now)
+	if reply.Draining && h.admission.unavailable.add(backend.Incarnation, indefinitely, now) {
 		h.requestLog.backendDraining(backend)
 	}
-	if reply.UnavailableFor > 0 && h.admission.closures.add(backend.Incarnation, now.Add(reply.UnavailableFor), now) {
+	if reply.UnavailableFor > 0 && h.admission.unavailable.add(backend.Incarnation, now.Add(reply.UnavailableFor), now) {
 		h.requestLog.backendRejecting(backend, reply.UnavailableFor)
 	}
 }
@@ -221,7 +221,7 @@
 		Backend:     placed.backend,
 		Remaining:   r.request.Remaining(now),
 		LastEventID: r.stream.lastEventID,
-		FetchSource: placed.holder,
+		FetchSource: placed.fetchSource,
 	}
 	if forward.LastEventID == "" {
 		forward.LastEventID = r.request.LastEventID
@@ -252,7 +252,7 @@
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	if r.handler.admission.closures.has(backend.Incarnation, boottime.Now()) {
+	if r.handler.admission.unavailable.has(backend.Incarnation, boottime.Now()) {
 		return errRejecting
 	}
 	return nil
@@ -288,7 +288,7 @@
 func (r *relay) sendFailed(ctx context.Context, placed *placement, sent boottime.Instant, err error) sendOutcome {
 	h := r.handler
 	unsent := backendconn.ProgressOf(err) == backendconn.ProgressNone
-	h.admission.ended(r.request, placed, !unsent)
+	h.admission.release(r.request, placed, !unsent)
 	if errors.Is(err, backendconn.ErrCallerDisconnected) || callerCanceled(ctx) {
 		return r.callerDisconnected()
 	}
@@ -297,8 +297,8 @@
 	if unsent {
 		r.connectFailures++
 		if ctx.Err() == nil && !errors.Is(err, backendconn.ErrTooMany) && !errors.Is(err, errRejecting) {
-			h.admission.loads.broken(placed.backend.Incarnation)
-			h.admission.cold.mayRestart(h.state.View(), placed.backend)
+			h.admission.loads.recordConnectionFailure(placed.backend.Incarnation)
+			h.admission.cold.assumeRestart(h.state.View(), placed.backend)
 		}
 		return outcomeUnsent
 	}
@@ -332,5 +332,5 @@
 		return
 	}
 	r.handler.crashDetector.addReset(placed.backend.Incarnation, r.request.Fingerprint, sent, boottime.Now())
-	r.handler.admission.loads.answered(placed.backend.Incarnation, false, 0)
+	r.handler.admission.loads.recordAnswer(placed.backend.Incarnation, false, 0)
 }
--- a/internal/gate/streampace.go
+++ b/internal/gate/streampace.go
@@ -6,24 +6,24 @@
 	"github.com/bluebellchute/bluebellchute/internal/boottime"
 )
 
-// streamPace watches whether the events of a stream come in time.
-type streamPace struct {
+// streamTiming watches whether the events of a stream come in time.
+type streamTiming struct {
 	first boottime.Instant // until when the first event is in time, 0 for always
 	gap   time.Duration    // longest pause in time, 0 for any
 	last  boottime.Instant // when the last event came, 0 before the first
 	late  bool
 }
 
-func newStreamPace(request *Request) *streamPace {
-	p := &streamPace{gap: request.Route.TargetGap}
+func newStreamTiming(request *Request) *streamTiming {
+	p := &streamTiming{gap: request.Route.TargetGap}
 	if target := request.Route.TargetLatency; target > 0 {
 		p.first = request.Received.Add(target)
 	}
 	return p
 }
 
-// note takes the moment of an event and returns whether it is the first.
-func (p *streamPace) note(now boottime.Instant) bool {
+// recordEvent takes the moment of an event and returns whether it is the first.
+func (p *streamTiming) recordEvent(now boottime.Instant) bool {
 	began := p.last == 0
 	switch {
 	case began:
--- a/internal/gate/tally.go
+++ b/internal/gate/tally.go
@@ -36,28 +36,28 @@
 	Served    int64         `json:"served"`
 }
 
-// tally counts requests until it is written. Records of single requests are a
+// requestCounts counts requests until it is written. Records of single requests are a
 // sample when there are many; this one misses none, whatever the load. Its
 // methods may be called concurrently.
-type tally struct {
+type requestCounts struct {
 	mu       sync.Mutex
 	routes   map[string]*RouteCounts
 	accounts map[fleet.Account]*AccountCounts
 }
 
-func newTally() *tally {
-	t := &tally{}
+func newRequestCounts() *requestCounts {
+	t := &requestCounts{}
 	t.reset()
 	return t
 }
 
-func (t *tally) reset() {
+func (t *requestCounts) reset() {
 	t.routes = make(map[string]*RouteCounts)
 	t.accounts = make(map[fleet.Account]*AccountCounts)
 }
 
-// asked counts a request that has arrived.
-func (t *tally) asked(request *Request) {
+// addRequested counts a request that has arrived.
+func (t *requestCounts) addRequested(request *Request) {
 	if !request.takesShare() {
 		return
 	}
@@ -66,8 +66,8 @@
 	t.account(request.Account.Name).Requested += int64(request.Prompt.Cost())
 }
 
-// ended counts the end of a request.
-func (t *tally) ended(request *Request, note func(route *RouteCounts)) {
+// addEnd counts the end of a request.
+func (t *requestCounts) addEnd(request *Request, note func(route *RouteCounts)) {
 	name := ""
 	if request != nil && request.Route != nil {
 		name = request.Route.Name
@@ -82,9 +82,9 @@
 	note(route)
 }
 
-// answered counts an answer.
-func (t *tally) answered(request *Request, success, late bool) {
-	t.ended(request, func(route *RouteCounts) {
+// addAnswer counts an answer.
+func (t *requestCounts) addAnswer(request *Request, success, late bool) {
+	t.addEnd(request, func(route *RouteCounts) {
 		switch {
 		case !success:
 			route.Failed++
@@ -99,9 +99,9 @@
 	})
 }
 
-// refused counts a refusal.
-func (t *tally) refused(request *Request, reason Reason) {
-	t.ended(request, func(route *RouteCounts) {
+// addRefusal counts a refusal.
+func (t *requestCounts) addRefusal(request *Request, reason Reason) {
+	t.addEnd(request, func(route *RouteCounts) {
 		if route.Refused == nil {
 			route.Refused = make(map[Reason]int)
 		}
@@ -109,7 +109,7 @@
 	})
 }
 
-func (t *tally) account(name fleet.Account) *AccountCounts {
+func (t *requestCounts) account(name fleet.Account) *AccountCounts {
 	known := t.accounts[name]
 	if known == nil {
 		known = &AccountCounts{Account: name}
@@ -120,7 +120,7 @@
 
 // write writes what was counted since the last call, with what the decisions
 // rested on, and counts anew.
-func (t *tally) write(logger logrus.FieldLogger, fields logrus.Fields) {
+func (t *requestCounts) write(logger logrus.FieldLogger, fields logrus.Fields) {
 	t.mu.Lock()
 	routes, accounts := t.routes, t.accounts
 	t.reset()
