--- a/internal/policy/bounds.go
+++ b/internal/policy/bounds.go
@@ -7,91 +7,93 @@
 	"github.com/bluebellchute/bluebellchute/internal/selection"
 )
 
-// The load that this file answers: more prompts arrive than engines read. What
-// waits at an engine is read in the order of arrival, so the only way to keep a
-// request in time is not to let too much in ahead of it.
+// When prompts arrive faster than engines read them, an engine reads its queue in order
+// of arrival. Limiting what is admitted ahead of a request is then the only way to answer
+// it in time.
 
-// Bounds are what a request finds acceptable at an engine.
+// Bounds limit how loaded an engine may be to take a request.
 type Bounds struct {
-	Budget time.Duration // for the prompts ahead
-	// CountOwnPrompt tells that the request's own prompt counts in the budget.
+	Budget time.Duration // time to read the prompts ahead
+	// CountOwnPrompt reports whether the request's own prompt counts in the budget.
 	CountOwnPrompt bool
-	SlotShare      float64 // part of the engine's slots that may be taken
-	MemoryShare    float64 // part of the engine's memory that may be filled
-	// MaxEngines is how many engines may be looked at for room.
+	SlotShare      float64 // fraction of the engine's slots that may be in use
+	MemoryShare    float64 // fraction of the engine's memory that may be in use
+	// MaxEngines is the number of engines that may be considered.
 	MaxEngines int
 }
 
 const (
-	// leastUrgency bounds the parts of many priorities, so that none starves.
-	leastUrgency = 0.5
-	// shortPreference is how much less may be ahead of a request whose account
-	// has had its whole share than of one whose account has had nothing, while
-	// the engines fall short of the stated capacity. Whoever arrives just when
-	// an engine has room would else get it, and that is who asks most often.
-	shortPreference = 0.5
+	// minUrgency is the smallest fraction of the budget for any rank. It keeps the least
+	// urgent requests from starving when many priorities are in use.
+	minUrgency = 0.5
+	// shortageBudgetCut is the fraction by which the budget of an account that has used
+	// its whole share is cut while the engines fall short of the stated capacity. Without
+	// the cut, a free place goes to whoever arrives first, which favours the account that
+	// sends most requests.
+	shortageBudgetCut = 0.5
 )
 
 // Bounds returns the bounds for a request of the tier.
-func (s *Settings) Bounds(tier Tier, facts ModelRequest) Bounds {
+func (s *Settings) Bounds(tier Tier, request ModelRequest) Bounds {
 	if tier == TierIdle {
-		return s.idleBounds(facts)
+		return s.idleBounds(request)
 	}
-	part := s.BudgetShare * s.urgency(facts.Rank) * facts.Headroom
+	fraction := s.BudgetShare * s.urgencyShare(request.Rank) * request.Headroom
 	if tier == TierSurplus {
-		part *= s.SurplusShare
+		fraction *= s.SurplusShare
 	}
-	part *= 1 - shortPreference*facts.Usage.Shortage*min(facts.Usage.ShareUsed, 1)
+	fraction *= 1 - shortageBudgetCut*request.Usage.Shortage*min(request.Usage.ShareUsed, 1)
 	engines := selection.PreferredEngines
 	if tier == TierOwed {
 		engines = max(s.OwedEngines, selection.PreferredEngines)
 	}
-	return Bounds{Budget: share(facts.Target, part), SlotShare: s.SlotShare, MemoryShare: s.MemoryShare, MaxEngines: engines}
+	return Bounds{Budget: scale(request.Target, fraction), SlotShare: s.SlotShare, MemoryShare: s.MemoryShare, MaxEngines: engines}
 }
 
-// idleBounds lets a request in where hardly anything waits and its own prompt
-// is short. Whatever comes after it and is owed waits for it: its own prompt
-// counts, against the shortest target latency there is, so that the wait is a
-// small part of anyone's target. Short requests go first by that, which serves
-// the most callers with what is idle.
+// idleBounds returns the bounds of the idle tier: it admits a request only where hardly
+// anything waits and the request's own prompt is short. An owed request that arrives
+// later has to wait for it, so its own prompt counts in the budget, which is a small
+// fraction of the service's shortest target latency. This favours short requests and so
+// serves the most callers with idle capacity.
 //
-// An account that has had little of what is served finds wider bounds: its prompts may
-// be long, and with the narrow ones they would fit nowhere while engines have nothing to
-// do and other accounts get their part in short prompts.
-func (s *Settings) idleBounds(facts ModelRequest) Bounds {
-	tightest := facts.ShortestTarget
-	if tightest == 0 {
-		tightest = facts.Target
+// An account that has been granted little of the capacity gets wider bounds. With the
+// narrow ones, an account with long prompts would not be admitted anywhere while engines
+// are idle and other accounts use them with short prompts.
+func (s *Settings) idleBounds(request ModelRequest) Bounds {
+	shortestTarget := request.ShortestTarget
+	if shortestTarget == 0 {
+		shortestTarget = request.Target
 	}
-	part := need(facts.Usage.EvenShareUsed)
+	widening := idleWidening(request.Usage.EvenShareUsed)
 	return Bounds{
-		Budget:         share(tightest, between(s.IdleShare, s.IdleWide, part)*facts.Headroom),
+		Budget:         scale(shortestTarget, interpolate(s.IdleShare, s.IdleWide, widening)*request.Headroom),
 		CountOwnPrompt: true,
-		SlotShare:      between(s.IdleSlots, s.IdleWideSlots, part),
-		MemoryShare:    between(s.IdleMemory, s.IdleWideSlots, part),
+		SlotShare:      interpolate(s.IdleSlots, s.IdleWideSlots, widening),
+		MemoryShare:    interpolate(s.IdleMemory, s.IdleWideSlots, widening),
 
 		MaxEngines: selection.PreferredEngines,
 	}
 }
 
-// needyBelow is the part of its even part of all that is served below which an account
-// finds the widest bounds of the idle tier.
-const needyBelow = 0.6
+// widestIdleBelow is the fraction of its even share of all served tokens below which an
+// account gets the widest bounds of the idle tier.
+const widestIdleBelow = 0.6
 
-// need returns how much of the widening of the idle tier an account finds that has got
-// so much of its even part: 1 up to needyBelow, 0 from the whole part on.
-func need(whole float64) float64 {
-	return min(max((1-whole)/(1-needyBelow), 0), 1)
+// idleWidening returns by how much the bounds of the idle tier are widened for an account
+// that has used this fraction of its even share: 1 up to widestIdleBelow, falling to 0 at
+// the whole share.
+func idleWidening(evenShareUsed float64) float64 {
+	return min(max((1-evenShareUsed)/(1-widestIdleBelow), 0), 1)
 }
 
-// between returns the value at the part of the way from narrow to wide. Where wide is no
-// wider, it is narrow.
-func between(narrow, wide, part float64) float64 {
-	return narrow + part*max(wide-narrow, 0)
+// interpolate returns the value at the fraction of the way from narrow to wide, or narrow
+// if wide is no wider.
+func interpolate(narrow, wide, fraction float64) float64 {
+	return narrow + fraction*max(wide-narrow, 0)
 }
 
-// urgency returns the part of the budget for requests of a rank: a less urgent
-// request is refused first.
-func (s *Settings) urgency(rank int) float64 {
-	return max(math.Pow(s.RankShare, float64(rank)), leastUrgency)
+// urgencyShare returns the fraction of the budget for requests of a rank. Less urgent
+// requests get less and are refused first.
+func (s *Settings) urgencyShare(rank int) float64 {
+	return max(math.Pow(s.RankShare, float64(rank)), minUrgency)
 }
--- a/internal/policy/doc.go
+++ b/internal/policy/doc.go
@@ -1,9 +1,8 @@
-// Package policy decides whether a request is sent to a model engine or a plain server
-// at all, and how much may be ahead of it there. It is pure: all that it knows
-// is handed to it.
+// Package policy decides whether a request is sent to a model engine or a plain server,
+// and how loaded an engine or server may be to take it. The decisions depend on nothing
+// but their arguments and the state of the receivers.
 //
-// A request for a model is in one of three tiers. What its account is owed comes first and
-// may wait the longest; what goes beyond the share waits less and is taken by
-// odds; everything else takes only what is idle. Each file holds one decision
-// and opens with the load that it answers.
+// A request for a model is in one of three tiers. Requests within the account's share
+// come first and accept the longest wait, requests beyond the share accept a shorter wait
+// and are admitted with some probability, and all others use idle capacity only.
 package policy
--- a/internal/policy/headroom.go
+++ b/internal/policy/headroom.go
@@ -1,42 +1,39 @@
 package policy
 
-// The load that this file answers: engines do less than the budgets assume. They
-// read slower than they did, their steps take longer, or long prompts make the
-// streams beside them pause. A queue that suits the target latency then makes
-// every answer late, and nothing else shows it.
+// Engines may do less than the budgets assume: they read more slowly than before, their
+// steps take longer, or long prompts stall the streams beside them. A queue that suits
+// the target latency then makes every answer late, and only the late answers show it.
 
 const (
-	// lateTolerated is the part of answers that may be late before the budgets
-	// are lowered. Some always are: engines crash, and callers move.
-	lateTolerated = 0.05
-	// lateStep is the part by which one late answer lowers the headroom. Some
-	// fifty late answers, a second's worth for a router under load, lower it to
-	// a fifth.
-	lateStep = 0.03
+	// toleratedLateShare is the fraction of answers that may be late before the budgets
+	// are lowered. Some always are: engines crash, and callers move to other routers.
+	toleratedLateShare = 0.05
+	// lateAnswerStep is the fraction by which one late answer lowers the headroom. Some
+	// fifty late answers, one second of them at a router under load, lower it to a fifth.
+	lateAnswerStep = 0.03
 )
 
-// Headroom is the part of the budgets that is used at a service, from
-// Settings.LeastHeadroom to 1. Late answers lower it and others raise it, so
-// that it settles where the tolerated part is late.
+// Headroom is the fraction of the budgets that is used at a service, from
+// Settings.LeastHeadroom to 1. Late answers lower it and answers in time raise it, so
+// that it settles where the tolerated fraction is late.
 type Headroom struct {
-	// lowered is how far the headroom is below 1, so that the zero value is a
-	// whole one.
-	lowered float64
+	// reduction is 1 minus the headroom, so that the zero value means full headroom.
+	reduction float64
 }
 
-// Observe takes the end of an answer.
+// Observe records whether an answer was late.
 func (h *Headroom) Observe(late bool) {
-	part := 1 - h.lowered
+	headroom := 1 - h.reduction
 	if late {
-		part *= 1 - lateStep
+		headroom *= 1 - lateAnswerStep
 	} else {
-		part *= 1 + lateStep*lateTolerated/(1-lateTolerated)
+		headroom *= 1 + lateAnswerStep*toleratedLateShare/(1-toleratedLateShare)
 	}
-	h.lowered = 1 - min(part, 1)
+	h.reduction = 1 - min(headroom, 1)
 }
 
-// Value returns the headroom, at least as much as stated.
-func (h *Headroom) Value(least float64) float64 {
-	h.lowered = min(h.lowered, 1-least)
-	return 1 - h.lowered
+// Value returns the headroom, which is raised to the minimum if it is below.
+func (h *Headroom) Value(minimum float64) float64 {
+	h.reduction = min(h.reduction, 1-minimum)
+	return 1 - h.reduction
 }
--- a/internal/policy/plain_test.go
+++ b/internal/policy/plain_test.go
@@ -8,8 +8,8 @@
 )
 
 func drawPlain(t *rapid.T) (PlainRequest, []PlainServer) {
-	duration := func(name string, most time.Duration) time.Duration {
-		return time.Duration(rapid.Int64Range(0, int64(most)).Draw(t, name))
+	duration := func(name string, maximum time.Duration) time.Duration {
+		return time.Duration(rapid.Int64Range(0, int64(maximum)).Draw(t, name))
 	}
 	request := PlainRequest{
 		Target:     duration("target", time.Second),
@@ -32,15 +32,15 @@
 	return request, servers
 }
 
-// Guards against refusals while a slot is free, waits beyond the budget or the
-// caller's deadline, and times to come back that are too short or endless.
+// Guards against refusals while a slot is free, waits beyond the budget or the caller's
+// deadline, and retry delays that are too short or too long.
 func TestPlainChoiceKeepsItsBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		request, servers := drawPlain(t)
 		choice := settings.ChoosePlain(request, servers)
 		chosen := servers[choice.Server]
 		if choice.Wait != chosen.Wait() {
-			t.Fatalf("wait %v, at the server %v", choice.Wait, chosen.Wait())
+			t.Fatalf("choice.Wait = %v, but the server's wait is %v", choice.Wait, chosen.Wait())
 		}
 		for _, server := range servers {
 			if server.HasFreeSlot() && !choice.Fits {
@@ -48,39 +48,38 @@
 			}
 		}
 		if choice.Fits {
-			hopeless := choice.Wait+chosen.work() > request.Remaining
-			if choice.RetryAfter != 0 || !chosen.HasFreeSlot() && (hopeless || choice.Wait > choice.Budget) {
-				t.Fatalf("%+v to %+v", choice, chosen)
+			tooLate := choice.Wait+chosen.workTime() > request.Remaining
+			if choice.RetryAfter != 0 || !chosen.HasFreeSlot() && (tooLate || choice.Wait > choice.Budget) {
+				t.Fatalf("%+v for server %+v breaks a bound", choice, chosen)
 			}
 			return
 		}
-		least, most := leastRetry, max(request.Remaining, leastRetry)
-		if choice.RetryAfter < least || choice.RetryAfter > most+share(most, plainJitter) {
-			t.Fatalf("retry after %v, %v are left", choice.RetryAfter, request.Remaining)
+		shortest, longest := minRetryAfter, max(request.Remaining, minRetryAfter)
+		if choice.RetryAfter < shortest || choice.RetryAfter > longest+scale(longest, plainMaxJitter) {
+			t.Fatalf("retry after %v with %v remaining", choice.RetryAfter, request.Remaining)
 		}
 	})
 }
 
-// Guards against a less urgent request, or one that can safely be repeated, taking
-// the place of another.
+// Guards against less urgent or idempotent requests displacing others.
 func TestPlainBudgetsFollowUrgency(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		request, servers := drawPlain(t)
 		request.Idempotent, request.Target = false, request.Target+1
 		budget := settings.ChoosePlain(request, servers).Budget
-		less, read := request, request
-		less.Rank++
-		read.Idempotent = true
-		if got := settings.ChoosePlain(less, servers).Budget; got > budget {
+		lessUrgent, idempotent := request, request
+		lessUrgent.Rank++
+		idempotent.Idempotent = true
+		if got := settings.ChoosePlain(lessUrgent, servers).Budget; got > budget {
 			t.Fatalf("budget %v at rank %d, %v at the next", budget, request.Rank, got)
 		}
-		if got := settings.ChoosePlain(read, servers).Budget; got > budget/2+1 {
-			t.Fatalf("budget %v, of a read %v", budget, got)
+		if got := settings.ChoosePlain(idempotent, servers).Budget; got > budget/2+1 {
+			t.Fatalf("budget %v, of an idempotent request %v", budget, got)
 		}
 	})
 }
 
-// Guards against callers that were refused together coming back together.
+// Guards against callers that were refused together retrying together.
 func TestPlainRetriesAreSpread(t *testing.T) {
 	request := PlainRequest{Target: 300 * time.Millisecond, Remaining: 3 * time.Second}
 	servers := []PlainServer{{Running: 60, Slots: 6, ServiceTime: 60 * time.Millisecond, Slowdown: 1}}
@@ -91,8 +90,8 @@
 	}
 }
 
-// Guards against a read going to another zone while its own is as good, and against
-// staying there when it is much worse.
+// Guards against a request going to another zone while its own is as good, and against
+// staying in its own zone when that is much worse.
 func TestPlainPrefersItsZoneAmongEqualServers(t *testing.T) {
 	request := PlainRequest{Target: 300 * time.Millisecond, Remaining: 3 * time.Second}
 	servers := []PlainServer{
@@ -101,22 +100,22 @@
 	}
 	for request.Offset = range 2 {
 		if got := settings.ChoosePlain(request, servers).Server; got != 1 {
-			t.Errorf("server %d while its own zone's is as good", got)
+			t.Errorf("server %d while the one in its own zone is as good", got)
 		}
 	}
 	servers[1].Running = 20
 	if got := settings.ChoosePlain(request, servers).Server; got != 0 {
-		t.Errorf("server %d, which is crowded", got)
+		t.Errorf("server %d, which is overloaded", got)
 	}
 }
 
-// Guards against a server counting as fast as it was while it reports that its work
-// takes longer.
+// Guards against a wait estimated at the usual work time although the server reports that
+// its work takes longer.
 func TestReportedPaceLengthensTheWait(t *testing.T) {
 	server := PlainServer{Running: 8, Slots: 6, ServiceTime: 60 * time.Millisecond, Slowdown: 1}
 	usual := server.Wait()
 	server.Slowdown = 2.5
-	if got := server.Wait(); got != share(usual, 2.5) {
-		t.Errorf("wait %v, at the usual pace %v", got, usual)
+	if got := server.Wait(); got != scale(usual, 2.5) {
+		t.Errorf("wait %v, at the usual work time %v", got, usual)
 	}
 }
--- a/internal/policy/protect.go
+++ b/internal/policy/protect.go
@@ -7,77 +7,76 @@
 	"github.com/bluebellchute/bluebellchute/internal/selection"
 )
 
-// The load that this file answers: long prompts arrive at engines that stream to many
-// callers, and engines differ in speed. An engine reads a piece of a prompt in each step
-// in which it makes a token of every stream, so that several long prompts in a row, or
-// one at a slow engine, make all streams there late.
+// An engine reads a piece of a prompt in each step in which it generates a token of every
+// stream. Several long prompts in a row, or one at a slow engine, therefore delay all
+// streams of that engine. Engines differ in speed, so long prompts go to fast ones first.
 
 const (
-	// furtherEngines is how many engines beyond the homes of a shared part are looked at
-	// for one whose streams the prompt does not disrupt.
-	furtherEngines = 8
-	// longShare is the part of the bound on disruption from which the reading of a
-	// prompt counts as long: two of them in a row exceed the bound.
-	longShare = 0.5
-	// longExponent and shortExponent tell how the weight of an engine grows with its
-	// speed. Long prompts gather at the fast engines more than in proportion, so that
-	// the slow ones have room for short prompts that disrupt nobody.
-	longExponent  = 3
-	shortExponent = 0.5
-	// protectedHeadroom bounds how far late answers lower the budgets while streams are
-	// protected. What makes streams late is then read for the most part where it
-	// disturbs none, and lower budgets only refuse requests.
-	protectedHeadroom = 0.5
+	// extraEngines is how many engines beyond the preferred ones of a shared segment are
+	// searched for one whose streams the prompt does not disrupt.
+	extraEngines = 8
+	// longPromptShare is the fraction of the bound on disruption from which a prompt's
+	// reading time counts as long: two such prompts in a row exceed the bound.
+	longPromptShare = 0.5
+	// longPromptExponent and shortPromptExponent are the exponents of an engine's speed
+	// in its weight. Fast engines attract long prompts more than in proportion to their
+	// speed, which leaves the slow ones room for short prompts that disrupt no stream.
+	longPromptExponent  = 3
+	shortPromptExponent = 0.5
+	// minProtectedHeadroom is the lower bound of the headroom while streams are
+	// protected. Long prompts are then mostly read where they delay no streams, so that
+	// lower budgets would only refuse requests.
+	minProtectedHeadroom = 0.5
 )
 
-// Protection bounds what prompts may do to streams in progress at the engines of a
-// service. Its zero value bounds nothing.
+// Protection bounds how much prompts may delay streams in progress at the engines of a
+// service. The zero value sets no bound.
 type Protection struct {
-	// Gap is the longest time for which an engine may read prompts beside streams.
+	// Gap is the longest time for which an engine may read prompts while it streams.
 	Gap time.Duration
-	// MayDisrupt tells that the request may exceed it where no engine is free of
-	// streams that it would disrupt.
+	// MayDisrupt reports whether the request may exceed Gap if every engine has streams
+	// that it would disrupt.
 	MayDisrupt bool
 }
 
-// Protection returns what a request of the tier must observe at a service whose routes
-// promise gaps between events of at most targetGap, 0 for no promise. Only what an
-// account is owed may disrupt streams: refused, the account would get less than its
-// share because of its long prompts.
+// Protection returns the bound for a request of the tier at a service whose routes
+// promise gaps between events of at most targetGap, 0 for no promise. Only owed requests
+// may disrupt streams: if they were refused, an account with long prompts would get less
+// than its share.
 func (s *Settings) Protection(tier Tier, targetGap time.Duration) Protection {
-	return Protection{Gap: share(targetGap, s.GapShare), MayDisrupt: tier == TierOwed}
+	return Protection{Gap: scale(targetGap, s.GapShare), MayDisrupt: tier == TierOwed}
 }
 
-// MaxEngines returns how many engines are looked at where the bounds name so many.
+// MaxEngines returns how many engines are considered, given the bounds of the request.
 func (p Protection) MaxEngines(bounds Bounds) int {
 	if p.Gap == 0 {
 		return bounds.MaxEngines
 	}
-	return max(bounds.MaxEngines, selection.PreferredEngines+furtherEngines)
+	return max(bounds.MaxEngines, selection.PreferredEngines+extraEngines)
 }
 
-// Allows tells whether a chosen engine may take the request.
+// Allows reports whether the chosen engine may take the request.
 func (p Protection) Allows(choice selection.Choice) bool { return p.MayDisrupt || !choice.Disrupts }
 
-// WeightExponent returns the power of an engine's speed by which engines are preferred
-// for a prompt that an average engine reads in so long.
+// WeightExponent returns the exponent of an engine's speed in its weight for a prompt
+// with this reading time at an average engine.
 func (p Protection) WeightExponent(reading time.Duration) float64 {
 	switch {
 	case p.Gap == 0:
 		return 1
-	case reading > share(p.Gap, longShare):
-		return longExponent
+	case reading > scale(p.Gap, longPromptShare):
+		return longPromptExponent
 	}
-	return shortExponent
+	return shortPromptExponent
 }
 
-// EngineWeight returns how much an engine of the speed is preferred, 1 being average.
+// EngineWeight returns the preference for an engine of the speed, where 1 is average.
 func EngineWeight(speed, exponent float64) float64 { return math.Pow(speed, exponent) }
 
-// HeadroomFloor returns the least part of the budgets that is used.
+// HeadroomFloor returns the lower bound of the headroom.
 func (s *Settings) HeadroomFloor() float64 {
 	if s.GapShare == 0 {
 		return s.LeastHeadroom
 	}
-	return max(s.LeastHeadroom, protectedHeadroom)
+	return max(s.LeastHeadroom, minProtectedHeadroom)
 }
--- a/internal/policy/protect_test.go
+++ b/internal/policy/protect_test.go
@@ -7,7 +7,7 @@
 	"github.com/bluebellchute/bluebellchute/internal/selection"
 )
 
-// Guards against an account that gets less than its share because its prompts are long.
+// Guards against an account getting less than its share because its prompts are long.
 func TestOnlyWhatIsOwedMayDisruptStreams(t *testing.T) {
 	s := settings
 	s.GapShare = 0.7
@@ -19,8 +19,8 @@
 	}
 }
 
-// Guards against changes for services that promise no gap, and where streams are not
-// protected.
+// Guards against bounds for services that promise no gap, and where stream protection is
+// disabled.
 func TestNoBoundWithoutAPromisedGap(t *testing.T) {
 	s := settings
 	bounds := Bounds{MaxEngines: 2}
@@ -34,26 +34,25 @@
 		}
 	}
 	if s.HeadroomFloor() != s.LeastHeadroom {
-		t.Errorf("least headroom %v", s.HeadroomFloor())
+		t.Errorf("headroom floor %v", s.HeadroomFloor())
 	}
 }
 
-// Replays long and short prompts that arrive at engines of two speeds faster than they
-// are read. Guards against backlogs whose reading alone stalls streams for longer than
-// promised.
+// Replays long and short prompts that arrive faster than engines of two speeds read them.
+// Guards against backlogs whose reading alone stalls streams for longer than promised.
 func TestStreamsStallLessWhereProtected(t *testing.T) {
-	unprotected := stalledShare(Settings{})
-	protected := stalledShare(Settings{GapShare: 0.7})
+	unprotected := backloggedShare(Settings{})
+	protected := backloggedShare(Settings{GapShare: 0.7})
 	t.Logf("time with a backlog beyond the promised gap: %.2f, protected %.2f", unprotected, protected)
 	if protected > unprotected/4 {
 		t.Errorf("time with such a backlog %.2f, protected %.2f", unprotected, protected)
 	}
 }
 
-// stalledShare plays eight engines, a quarter of them fast, for ten seconds and returns
-// the part of the time for which an engine has a backlog that it reads for longer than
-// the promised gap.
-func stalledShare(s Settings) float64 {
+// backloggedShare simulates eight engines, a quarter of them fast, for ten seconds and
+// returns the share of time for which an engine has a backlog that takes longer than the
+// promised gap to read.
+func backloggedShare(s Settings) float64 {
 	const (
 		gap  = 300 * time.Millisecond
 		tick = 10 * time.Millisecond
@@ -68,7 +67,7 @@
 			if (2*n+arrival)%5 == 0 {
 				tokens = 7_000
 			}
-			offer(s, tokens, speeds, pending, rate, uint64(2*n+arrival))
+			placeSurplusPrompt(s, tokens, speeds, pending, rate, uint64(2*n+arrival))
 		}
 		for i := range speeds {
 			pending[i] = max(0, pending[i]-rate*speeds[i]*tick.Seconds())
@@ -81,8 +80,8 @@
 	return float64(stalled) / float64(ticks)
 }
 
-// offer places one prompt that goes beyond its account's share, or refuses it.
-func offer(s Settings, tokens float64, speeds, pending []float64, rate float64, key uint64) {
+// placeSurplusPrompt places one prompt of the surplus tier, or refuses it.
+func placeSurplusPrompt(s Settings, tokens float64, speeds, pending []float64, rate float64, key uint64) {
 	protection := s.Protection(TierSurplus, 300*time.Millisecond)
 	exponent := protection.WeightExponent(time.Duration(tokens / rate * float64(time.Second)))
 	weights, hashes := make([]float64, len(speeds)), make([]uint64, len(speeds))
--- a/internal/policy/readrate.go
+++ b/internal/policy/readrate.go
@@ -3,35 +3,34 @@
 import "time"
 
 const (
-	// rateMemory is the weight of the past at each observation of an engine.
-	// Some hundred observations, a second or two under load, are remembered.
-	rateMemory = 0.99
-	// ratePrior is the weight in seconds of the figure that is assumed before
-	// anything was observed.
-	ratePrior = 0.5
+	// rateDecay is the weight of past observations at each new one. The estimate covers
+	// about a hundred observations, a second or two under load.
+	rateDecay = 0.99
+	// ratePriorSeconds is the weight of the assumed rate, in seconds of observation.
+	ratePriorSeconds = 0.5
 )
 
-// ReadRate learns how many prompt tokens an engine of a service reads in a
-// second beside the tokens that it generates.
+// ReadRate estimates how many prompt tokens an engine of a service reads per second while
+// it generates tokens.
 type ReadRate struct {
-	tokens  float64 // decayed sum of prompt tokens of requests that have begun
-	seconds float64 // decayed sum of the time that they took to begin
+	tokens  float64 // decayed sum of prompt tokens read until first events
+	seconds float64 // decayed sum of the times to first event
 }
 
-// Observe takes the first event of a request: pending prompt tokens, its own
-// included, were waiting when it was sent.
-func (r *ReadRate) Observe(pending float64, took time.Duration) {
-	r.tokens = r.tokens*rateMemory + pending
-	r.seconds = r.seconds*rateMemory + took.Seconds()
+// Observe records the first event of a request. pending is the number of prompt tokens
+// that were waiting when it was sent, including its own.
+func (r *ReadRate) Observe(pending float64, elapsed time.Duration) {
+	r.tokens = r.tokens*rateDecay + pending
+	r.seconds = r.seconds*rateDecay + elapsed.Seconds()
 }
 
-// Estimate returns what was learned; assumed is the figure before any observation.
+// Estimate returns the estimated rate, which starts at the assumed one.
 func (r *ReadRate) Estimate(assumed float64) float64 {
-	return (r.tokens + assumed*ratePrior) / (r.seconds + ratePrior)
+	return (r.tokens + assumed*ratePriorSeconds) / (r.seconds + ratePriorSeconds)
 }
 
-// Observed returns the rate that was seen, without any assumption, and the decayed sum
-// of the seconds that it was seen for. The rate is 0 if nothing was seen.
+// Observed returns the observed rate without the assumed one, and the decayed sum of the
+// observed seconds. The rate is 0 if nothing was observed.
 func (r *ReadRate) Observed() (rate, seconds float64) {
 	if r.seconds <= 0 {
 		return 0, 0
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -2,25 +2,24 @@
 
 import "time"
 
-// The load that this file answers: demand jumps, and hundreds of callers are refused in
-// the same tenth of a second. Told the same time, they come back together and are refused
-// together once more.
+// When demand jumps, hundreds of callers are refused within a tenth of a second. If they
+// all got the same delay, they would retry together and be refused together again.
 
-// leastRetry is the shortest time to come back: below it, callers would come
-// back before anything has changed.
-const leastRetry = 50 * time.Millisecond
+// minRetryAfter is the shortest retry delay. With a shorter one, callers would retry
+// before the load has changed.
+const minRetryAfter = 50 * time.Millisecond
 
-// RetryAfter returns the time to come back for a request that has not run.
+// RetryAfter returns the retry delay for a request that was not executed.
 func (s *Settings) RetryAfter(target time.Duration) time.Duration {
-	return max(share(target, s.RetryShare), leastRetry)
+	return max(scale(target, s.RetryShare), minRetryAfter)
 }
 
-// RetryAfterByUsage returns the time to come back for a request whose account will have got so
-// much of its share. Callers come back spread over a span of time, those of accounts that
-// had least in its first half. draw is a random number in [0, 1).
-func (s *Settings) RetryAfterByUsage(target time.Duration, got, draw float64) time.Duration {
-	const most = 2 // of a share; who got more comes no later than that
-	turn := (min(got, most)/most + draw) / 2
-	part := 1 + s.RetrySpread*(2*turn-1)
-	return max(share(target, s.RetryShare*part), leastRetry)
+// RetryAfterByUsage returns the retry delay for a request whose account would have used
+// this fraction of its share with it. Callers retry spread over a period, those of
+// accounts that have used least in its first half. jitter is a random number in [0, 1).
+func (s *Settings) RetryAfterByUsage(target time.Duration, shareUsed, jitter float64) time.Duration {
+	const maxShareUsed = 2 // accounts beyond it are delayed no further
+	position := (min(shareUsed, maxShareUsed)/maxShareUsed + jitter) / 2
+	factor := 1 + s.RetrySpread*(2*position-1)
+	return max(scale(target, s.RetryShare*factor), minRetryAfter)
 }
--- a/internal/policy/servicetime_test.go
+++ b/internal/policy/servicetime_test.go
@@ -9,8 +9,8 @@
 
 const work = 60 * time.Millisecond
 
-// Guards against a router that starts beside busy servers taking the wait there,
-// of which it has not heard, for work.
+// Guards against a router that starts beside busy servers taking unknown queueing there
+// for work.
 func TestFirstAnswersDoNotCountTheirWait(t *testing.T) {
 	var times ServiceTime
 	for _, rounds := range []int{5, 3, 1, 4, 6} {
@@ -21,13 +21,13 @@
 	}
 }
 
-// Guards against the known wait counting as work, and against a changed time never
+// Guards against a known wait counting as work, and against a changed service time never
 // being learned.
 func TestServiceTimeFollowsAnswers(t *testing.T) {
 	var times ServiceTime
 	for range 20 {
 		rounds := PlainRounds(17, 6)
-		times.Observe(&SentPlainRequest{Rounds: rounds}, share(work, rounds))
+		times.Observe(&SentPlainRequest{Rounds: rounds}, scale(work, rounds))
 	}
 	if got := times.Learned().Round(time.Millisecond); got != work {
 		t.Errorf("%v, want %v", got, work)
@@ -40,21 +40,21 @@
 	}
 }
 
-// Guards against a server that hangs counting as fast until its first answer.
+// Guards against a hanging server counting as fast until its first answer.
 func TestOpenRequestsRaiseTheServiceTime(t *testing.T) {
 	var times ServiceTime
 	start := boottime.Instant(time.Hour)
 	sent := &SentPlainRequest{At: start, Rounds: 2}
 	times.Begin(sent)
 	if got := times.At(start, work); got != work {
-		t.Errorf("%v before anything is known, want what is assumed", got)
+		t.Errorf("%v before the first answer, want the assumed time", got)
 	}
 	if got := times.At(start.Add(time.Second), work); got != time.Second/2 {
 		t.Errorf("%v after a second for two rounds", got)
 	}
 	times.Observe(&SentPlainRequest{At: start.Add(time.Millisecond), Rounds: 1}, work)
 	if got := times.At(start.Add(time.Second), 0); got != work {
-		t.Errorf("%v, but the server went on with later requests", got)
+		t.Errorf("%v although the server has answered later requests", got)
 	}
 	times = ServiceTime{}
 	times.Begin(sent)
@@ -64,24 +64,23 @@
 	}
 }
 
-// Guards against a request that failed at once leaving room that is not there.
+// Guards against a request that failed immediately leaving an apparently free slot.
 func TestFailedRequestsCountUntilTheirAnswerWasDue(t *testing.T) {
 	var times ServiceTime
 	sent := &SentPlainRequest{At: boottime.Instant(time.Hour), Rounds: 2}
 	if got := times.RemainingTime(sent, sent.At); got != 0 {
-		t.Errorf("%v while nothing is known", got)
+		t.Errorf("%v before the first answer", got)
 	}
 	times.Observe(sent, 2*work)
 	if got := times.RemainingTime(sent, sent.At.Add(work/2)); got != 3*work/2 {
 		t.Errorf("%v, want %v", got, 3*work/2)
 	}
 	if got := times.RemainingTime(sent, sent.At.Add(time.Second)); got != 0 {
-		t.Errorf("%v after it was due", got)
+		t.Errorf("%v after the expected answer", got)
 	}
 }
 
-// Guards against a lone router refusing by what it only estimates: it knows all
-// requests.
+// Guards against a single router refusing by an estimate although it knows all requests.
 func TestLoneRouterCountsExactly(t *testing.T) {
 	var load PlainLoad
 	now := boottime.Instant(time.Hour)
@@ -89,14 +88,14 @@
 		now = now.Add(10 * time.Millisecond)
 		own := step % 20
 		if got := load.Estimate(PlainCounts{Own: own, Slots: 6, Routers: 1}, 0.999, now); got != own {
-			t.Fatalf("%d expected, there are %d", got, own)
+			t.Fatalf("estimated %d, want %d", got, own)
 		}
 	}
 }
 
-// Guards against a router going by figures 0.2 s old while others send: it scales
-// its own requests by its part.
-func TestCrowdedServerIsJudgedByOwnRequests(t *testing.T) {
+// Guards against a router relying on reports that are 0.2 s old while others send: it has
+// to scale up its own requests by its share.
+func TestSaturatedServerIsEstimatedByOwnRequests(t *testing.T) {
 	var load PlainLoad
 	now := boottime.Instant(time.Hour)
 	seen := PlainCounts{Own: 2, Others: 38, Slots: 6, Routers: 20}
@@ -106,13 +105,13 @@
 	}
 	seen.Own = 4
 	if got := load.Estimate(seen, 0, now); got < 76 || got > 80 {
-		t.Errorf("%d expected, want about 80", got)
+		t.Errorf("estimated %d, want about 80", got)
 	}
 }
 
-// Guards against averages that become negative when a request is decided by a moment
-// before that of the last one, as it was suspended before it got the lock.
-func TestEarlierMomentLeavesTheAveragesAlone(t *testing.T) {
+// Guards against negative averages when a request is decided with an earlier time than
+// the last one because it was suspended before it got the lock.
+func TestEarlierTimeDoesNotChangeTheAverages(t *testing.T) {
 	var load PlainLoad
 	now := boottime.Instant(time.Hour)
 	seen := PlainCounts{Own: 2, Others: 38, Slots: 6, Routers: 20}
@@ -123,13 +122,13 @@
 	seen.Own = 4
 	for _, moment := range []boottime.Instant{now.Add(-10 * time.Second), now} {
 		if got := load.Estimate(seen, 0, moment); got < 76 || got > 80 {
-			t.Errorf("%d expected %v before, want about 80", got, now.Sub(moment))
+			t.Errorf("estimated %d for a time %v earlier, want about 80", got, now.Sub(moment))
 		}
 	}
 }
 
-// Guards against a router that refuses what its servers have room for after it was
-// suspended: answers that waited meanwhile seemed to have taken seconds.
+// Guards against refusals by a router that was suspended: answers that waited to be read
+// meanwhile seem to have taken seconds.
 func TestAnswersReadAfterASuspensionRaiseTheServiceTimeLittle(t *testing.T) {
 	var learned ServiceTime
 	now := boottime.Instant(time.Hour)
@@ -140,6 +139,6 @@
 		learned.Observe(&SentPlainRequest{At: now, Rounds: 1}, 5*time.Second)
 	}
 	if got := learned.Learned(); got > 150*time.Millisecond {
-		t.Errorf("%v learned, want some 60 ms", got)
+		t.Errorf("learned %v, want about 60 ms", got)
 	}
 }
