--- a/internal/gate/entry.go
+++ b/internal/gate/acceptor.go
@@ -17,33 +17,32 @@
 	"github.com/bluebellchute/bluebellchute/internal/knowledge"
 )
 
-// defaultLimits hold until the first configuration is known. They are generous
-// in what callers may send and how long they may stay idle, as nothing is
-// served yet.
+// defaultLimits apply until the first configuration has been received. They are generous in
+// what callers may send and how long they may stay idle, as nothing is served yet.
 var defaultLimits = knowledge.Limits{
 	HeaderBytes:   64 << 10,
 	HeaderTimeout: 3 * time.Second,
 	IdleTimeout:   30 * time.Second,
 }
 
-// acceptRetryInterval is the pause after a failed accept, mostly for want of
+// acceptRetryInterval is the pause after a failed accept, usually for lack of file
 // descriptors.
 const acceptRetryInterval = 20 * time.Millisecond
 
-// cpuMonitor tells whether the router's processor bears more callers.
+// cpuMonitor reports whether the router's processor can serve more callers.
 type cpuMonitor interface {
-	// stalled tells whether requests in hand do not get on.
+	// stalled reports whether requests in progress make no progress.
 	stalled() bool
-	// recordShedding notes that callers are turned away for it.
+	// recordShedding records that connections are refused because of the load.
 	recordShedding()
-	// recovered tells whether requests get on without a wait again.
+	// recovered reports whether requests get the processor without delay again.
 	recovered() bool
-	// recordRecovery notes for how long callers were turned away.
+	// recordRecovery records for how long connections were refused.
 	recordRecovery(turnedAway time.Duration)
 }
 
-// acceptor accepts callers' connections. Each connection keeps the limits that
-// were in force when it was opened.
+// acceptor accepts callers' connections. Each connection keeps the limits that were in
+// force when it was opened.
 type acceptor struct {
 	handler http.Handler
 	callers *callerConns
@@ -57,7 +56,7 @@
 	drain *drainState
 }
 
-// limitedServer is a server with the limits of one configuration.
+// limitedServer is an HTTP server with the limits of one configuration.
 type limitedServer struct {
 	limits knowledge.Limits
 	server *http.Server
@@ -70,7 +69,7 @@
 	return e
 }
 
-// applyLimits serves connections opened from now on within the limits.
+// applyLimits sets the limits of connections opened from now on.
 func (e *acceptor) applyLimits(limits knowledge.Limits) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -85,12 +84,12 @@
 			MaxHeaderBytes:    limits.HeaderBytes,
 			ReadHeaderTimeout: limits.HeaderTimeout,
 			IdleTimeout:       limits.IdleTimeout,
-			// What callers send wrong is their matter and would flood the log.
+			// Errors of callers are their own and would flood the log.
 			ErrorLog:    log.New(io.Discard, "", 0),
 			BaseContext: func(net.Listener) context.Context { return e.drain.requests },
 			ConnContext: withCallerConn,
 			ConnState:   e.connStateChanged,
-			// OPTIONS * is a request like any other.
+			// OPTIONS * is handled like any other request.
 			DisableGeneralOptionsHandler: true,
 		},
 	}
@@ -103,14 +102,14 @@
 	return a.HeaderBytes == b.HeaderBytes && a.HeaderTimeout == b.HeaderTimeout && a.IdleTimeout == b.IdleTimeout
 }
 
-// run accepts connections at the address until the context ends or the entry
-// is closed.
+// run accepts connections at the address until the context ends or draining closes the
+// listener.
 //
-// While requests in hand do not get on, nothing listens there. A refusal with its
-// connection costs a small VM so much that more callers than it can refuse bring
-// everything to a standstill for as long as they come. A connection that is reset
-// by the kernel costs it nothing, and its caller tries another router at once; one
-// that waits to be accepted is given up only after a second.
+// While requests in progress are stalled, it closes the listener. Refusing a request on an
+// accepted connection costs a small VM so much that, with more callers than it can refuse,
+// nothing makes progress for as long as they come. A connection reset by the kernel costs
+// nothing, and its caller tries another router immediately; a caller whose connection waits
+// to be accepted gives up only after a second.
 func (e *acceptor) run(ctx context.Context, address fleet.Address) error {
 	for ctx.Err() == nil && !e.drain.listenerClosed.Load() {
 		listener, err := e.listen(ctx, address)
@@ -119,9 +118,9 @@
 		}
 		e.accept(ctx, listener)
 		_ = listener.Close() // it may be closed already
-		shut := boottime.Now()
+		closedAt := boottime.Now()
 		if e.awaitRecovery(ctx) {
-			e.cpu.recordRecovery(boottime.Now().Sub(shut))
+			e.cpu.recordRecovery(boottime.Now().Sub(closedAt))
 		}
 	}
 	return nil
@@ -142,8 +141,8 @@
 	return listener, nil
 }
 
-// accept accepts connections until the listener is closed, the context ends or
-// requests in hand do not get on.
+// accept accepts connections until the listener is closed, the context ends or requests in
+// progress are stalled.
 func (e *acceptor) accept(ctx context.Context, listener net.Listener) {
 	stop := context.AfterFunc(ctx, e.stopAccepting)
 	defer stop()
@@ -171,11 +170,11 @@
 	}
 }
 
-// recoveryPollInterval is the pause between two looks at whether requests get on.
+// recoveryPollInterval is the interval at which awaitRecovery checks the processor.
 const recoveryPollInterval = 5 * time.Millisecond
 
-// awaitRecovery waits until requests in hand get on without a wait. It returns false
-// when the entry is closed.
+// awaitRecovery waits until requests get the processor without delay. It returns false if
+// the listener is closed meanwhile.
 func (e *acceptor) awaitRecovery(ctx context.Context) bool {
 	for !e.cpu.recovered() {
 		if ctx.Err() != nil || e.drain.listenerClosed.Load() {
@@ -186,20 +185,21 @@
 	return ctx.Err() == nil && !e.drain.listenerClosed.Load()
 }
 
-// callerKeepAlive finds callers that vanished without closing.
+// callerKeepAlive is the TCP keep-alive interval. It finds callers that vanished without
+// closing their connections.
 const callerKeepAlive = 5 * time.Second
 
-// keepAliveShare is the part of the connections from which each is closed after
-// its next answer.
+// keepAliveShare is the share of the maximum number of connections above which each
+// connection is closed after its next answer.
 const keepAliveShare = 0.4
 
-// closeAfterAnswer tells whether a connection is to be closed after its answer.
+// closeAfterAnswer reports whether connections are to be closed after their next answer.
 func (e *acceptor) closeAfterAnswer() bool { return e.drain.draining() || e.nearConnectionLimit() }
 
-// nearConnectionLimit tells whether callers hold so many connections open that the rest
-// may not suffice. Callers that come back after a refusal open a new connection
-// each time and leave it open; once none can be accepted any more, requests
-// wait a second for their connection and are read after their callers left.
+// nearConnectionLimit reports whether callers hold so many connections open that the rest
+// may not suffice. Callers that retry after a refusal open a new connection each time and
+// leave it open. Once no more can be accepted, requests wait a second for their connection
+// and are read after their callers have disconnected.
 func (e *acceptor) nearConnectionLimit() bool {
 	places := e.callers.slots
 	return float64(len(places)) > float64(cap(places))*keepAliveShare
@@ -210,43 +210,46 @@
 	defer e.mu.Unlock()
 	e.drain.listenerClosed.Store(true)
 	if e.listener != nil {
-		_ = e.listener.Close() // there is no use for it any more
+		_ = e.listener.Close() // it is no longer needed
 	}
 }
 
 const (
-	// drainPollInterval is the pause between two looks at whether requests are in progress.
+	// drainPollInterval is the interval at which draining checks for requests in progress.
 	drainPollInterval = 10 * time.Millisecond
-	// drainQuietPeriod is how long none must be until draining ends before its time. A request
-	// may be on its way on a connection that was accepted just before the listener closed.
+	// drainQuietPeriod is how long no request must be in progress for draining to end
+	// early. A request may be on its way on a connection that was accepted just before the
+	// listener closed.
 	drainQuietPeriod = 50 * time.Millisecond
-	// finalAnswerTimeout is how long requests that are ended have for their final answers.
+	// finalAnswerTimeout is how long cancelled requests have for their final answers.
 	finalAnswerTimeout = 150 * time.Millisecond
 )
 
-// finish waits until no request is in progress or the context ends, ends what is left, and
-// closes all connections. It returns how many requests were left.
+// finish waits until no request is in progress or the context ends, cancels the remaining
+// requests, and closes all connections. It returns how many requests were cancelled.
 //
-// The servers are not shut down: they would read a request, drop it and close its connection.
+// It does not call Shutdown on the servers: that could read a request, drop it and close
+// its connection.
 func (e *acceptor) finish(ctx context.Context) int {
-	left := e.awaitIdle(ctx)
+	remaining := e.awaitIdle(ctx)
 	e.drain.end()
 	e.awaitClosed()
 	for _, server := range e.httpServers() {
 		_ = server.Close() // only connections of stalled callers are left
 	}
-	return left
+	return remaining
 }
 
-// httpServers returns those of all limits that were in force since the start.
+// httpServers returns the servers of all limits since the start.
 func (e *acceptor) httpServers() []*http.Server {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return lo.Map(e.servers, func(g *limitedServer, _ int) *http.Server { return g.server })
 }
 
-// awaitIdle waits until no request has been in progress for a moment or the context ends.
-// It closes idle connections meanwhile, and returns how many requests are in progress then.
+// awaitIdle waits until no request has been in progress for drainQuietPeriod or the context
+// ends. It closes idle connections meanwhile, and returns how many requests are still in
+// progress.
 func (e *acceptor) awaitIdle(ctx context.Context) int {
 	quiet := time.Duration(0)
 	for quiet < drainQuietPeriod {
@@ -265,7 +268,7 @@
 }
 
 // awaitClosed closes each connection once no request is being read or served on it. It
-// returns when all are closed, or after answerTime.
+// returns when all are closed, or after finalAnswerTimeout.
 func (e *acceptor) awaitClosed() {
 	for ends := boottime.Now().Add(finalAnswerTimeout); boottime.Now() < ends; time.Sleep(drainPollInterval) {
 		if e.callers.closeWaiting() == 0 {
@@ -274,8 +277,8 @@
 	}
 }
 
-// connStateChanged follows a server's state of a connection. One that gets idle late in draining
-// may have had no answer that told its end.
+// connStateChanged is the servers' ConnState hook. A connection that becomes idle after the
+// listener was closed is closed too: its last answer may not have announced that.
 func (e *acceptor) connStateChanged(conn net.Conn, state http.ConnState) {
 	if caller, ok := conn.(*callerConn); ok {
 		caller.setState(state)
@@ -285,7 +288,7 @@
 	}
 }
 
-// chanListener is a net.Listener whose connections are handed to it.
+// chanListener is a net.Listener whose connections are passed to it.
 type chanListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
@@ -296,12 +299,12 @@
 	return &chanListener{conns: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-// pass gives a connection to the server that accepts from the listener.
+// pass passes a connection to the server that accepts from the listener.
 func (l *chanListener) pass(conn net.Conn) {
 	select {
 	case l.conns <- conn:
 	case <-l.closed:
-		_ = conn.Close() // nobody serves it
+		_ = conn.Close() // no server will serve it
 	}
 }
 
--- a/internal/gate/callerconn.go
+++ b/internal/gate/callerconn.go
@@ -19,17 +19,17 @@
 
 // callerConns are the open connections of callers. Its methods may be called concurrently.
 type callerConns struct {
-	slots chan struct{} // holds a token for each
+	slots chan struct{} // holds a token for each open connection
 
 	mu   sync.Mutex
 	open map[*callerConn]bool
 }
 
-func newCallerConns(most int) *callerConns {
-	return &callerConns{slots: make(chan struct{}, most), open: make(map[*callerConn]bool)}
+func newCallerConns(limit int) *callerConns {
+	return &callerConns{slots: make(chan struct{}, limit), open: make(map[*callerConn]bool)}
 }
 
-// add adds a connection for which a place has been taken. The connection gives it back when
+// add adds a connection for which a slot has been taken. The connection frees the slot when
 // it is closed.
 func (c *callerConns) add(conn net.Conn) *callerConn {
 	added := &callerConn{Conn: conn, conns: c, opened: boottime.Now()}
@@ -64,18 +64,18 @@
 	return lo.CountBy(c.all(), func(conn *callerConn) bool { return conn.inState(states...) })
 }
 
-// busy tells whether a request is being read or served.
+// busy reports whether a request is being read or served.
 func (c *callerConns) busy() bool { return c.count(connReading, connServing) > 0 }
 
-// closeIdle closes the connections that wait for another request after an answer.
+// closeIdle closes the connections that have answered a request and wait for the next.
 func (c *callerConns) closeIdle() {
 	for _, conn := range c.all() {
 		conn.closeIf(connIdle)
 	}
 }
 
-// closeWaiting closes the connections that wait for a request, the first one included. It
-// returns how many were open.
+// closeWaiting closes the connections that wait for a request, including those that have
+// not had one yet. It returns how many were open.
 func (c *callerConns) closeWaiting() int {
 	all := c.all()
 	for _, conn := range all {
@@ -84,25 +84,24 @@
 	return len(all)
 }
 
-// connState is how far the requests of a connection have got.
+// connState is the state of a connection with regard to its requests.
 type connState int
 
 const (
 	connNew     connState = iota // nothing has been read
 	connReading                  // the first bytes of a request have been read
-	connServing                  // its head has been read whole
-	connIdle                     // it has been answered
+	connServing                  // the header has been read completely
+	connIdle                     // the request has been answered
 )
 
-// callerConn is a caller's connection.
-//
-// The server's own state of a connection stays idle until the head of a request has been
-// read whole and parsed, which takes long on a busy processor.
+// callerConn is a caller's connection. It tracks its state itself: that of net/http stays
+// idle until the header of a request has been read and parsed completely, which takes long
+// on a busy processor.
 type callerConn struct {
 	net.Conn
 	conns    *callerConns
 	opened   boottime.Instant
-	requests atomic.Int64 // that were served
+	requests atomic.Int64 // requests served
 
 	mu    sync.Mutex
 	state connState
@@ -117,7 +116,7 @@
 	return n, err
 }
 
-// markReading notes that bytes have been read.
+// markReading records that bytes have been read.
 func (c *callerConn) markReading() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -140,34 +139,35 @@
 	return slices.Contains(states, c.state)
 }
 
-// closeIf lets the server close the connection if it is in one of the states and no bytes
-// wait in it to be read, as a request may do on a busy processor. The read deadline does not
-// take back bytes that a read has got, so that no request is read and then dropped. The
-// server may replace the deadline by its own, so the call has to be repeated.
+// closeIf lets the server close the connection if it is in one of the states and has no
+// unread bytes: on a busy processor a request may be waiting there. It sets the read
+// deadline, which does not take back bytes that a read has already got, so that no request
+// is read and then dropped. The server may replace the deadline by its own, so the call has
+// to be repeated.
 func (c *callerConn) closeIf(states ...connState) {
 	if c.inState(states...) && !c.unread() {
 		_ = c.SetReadDeadline(pastDeadline) // fails if it is closed already
 	}
 }
 
-// pastDeadline is a deadline that has passed.
+// pastDeadline is a deadline that has already passed.
 var pastDeadline = time.Unix(1, 0)
 
-// unread tells whether bytes have arrived that were not read.
+// unread reports whether bytes have arrived that were not read yet.
 func (c *callerConn) unread() bool {
 	n, err := c.peek()
 	return err == nil && n > 0
 }
 
-// peek returns how many bytes, one at most, can be read now. It is 0 when the caller has
-// closed the connection, and an error when there are none.
+// peek returns how many bytes, at most one, can be read now. It returns 0 when the caller
+// has closed the connection, and an error when there is nothing to read.
 func (c *callerConn) peek() (int, error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return 0, err
 	}
 	n, peekErr := 0, error(nil)
-	// Control, not Read: the server's own read holds the lock of Read.
+	// Control rather than Read, as the server's own read holds the lock of Read.
 	err = raw.Control(func(fd uintptr) {
 		var one [1]byte
 		n, _, peekErr = unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
@@ -178,7 +178,7 @@
 	return n, peekErr
 }
 
-// setState takes the server's state of the connection.
+// setState follows the state that net/http reports.
 func (c *callerConn) setState(state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -195,7 +195,7 @@
 func (c *callerConn) SyscallConn() (syscall.RawConn, error) {
 	conn, ok := c.Conn.(syscall.Conn)
 	if !ok {
-		return nil, errors.New("no connection of the system's")
+		return nil, errors.New("connection does not implement syscall.Conn")
 	}
 	return conn.SyscallConn()
 }
@@ -203,26 +203,27 @@
 // callerConnKey is the context key of a caller's connection.
 type callerConnKey struct{}
 
-// withCallerConn keeps the connection in the context of its requests.
+// withCallerConn stores the connection in the context of its requests.
 func withCallerConn(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, callerConnKey{}, conn)
 }
 
-// callerConnOf returns the connection of a request, nil if it came on none.
+// callerConnOf returns the connection of a request, or nil if there is none.
 func callerConnOf(ctx context.Context) *callerConn {
 	conn, _ := ctx.Value(callerConnKey{}).(*callerConn)
 	return conn
 }
 
-// callerCanceled tells whether the server has noticed that the caller closed its connection.
+// callerCanceled reports whether net/http has noticed that the caller closed its
+// connection.
 func callerCanceled(ctx context.Context) bool {
 	return errors.Is(ctx.Err(), context.Canceled) && !cancelledByDrain(ctx)
 }
 
-// callerDisconnected tells whether the caller has closed its connection. The server
-// notices that as well, but on a busy processor long after: the request would
-// be sent on for nobody. A caller whose time has run out is still there and
-// gets an answer.
+// callerDisconnected reports whether the caller has closed its connection. It looks at the
+// socket, since on a busy processor net/http notices much later and the request would be
+// forwarded in vain. A caller whose time limit has passed is still connected and gets an
+// answer.
 func callerDisconnected(ctx context.Context) bool {
 	if callerCanceled(ctx) {
 		return true
--- a/internal/gate/connections.go
+++ b/internal/gate/connection_stats.go
@@ -12,28 +12,28 @@
 	"github.com/bluebellchute/bluebellchute/internal/event"
 )
 
-// connectionLogInterval is the pause between two records of opened connections.
+// connectionLogInterval is the interval at which opened connections are logged.
 const connectionLogInterval = 10 * time.Second
 
-// idleBuckets are the bounds of the idle times, in seconds. Connections whose
-// peer states no idle timeout are given up after 0.7 s; stated timeouts are
-// whole seconds, rarely more than a minute.
+// idleBuckets are the histogram bounds of idle times, in seconds. Connections whose peer
+// states no idle timeout are closed after 0.7 s; stated timeouts are whole seconds, rarely
+// more than a minute.
 var idleBuckets = []float64{0.25, 0.5, 1, 2, 4, 8, 15, 30, 60}
 
-// connectionStats counts the connections opened to backend servers, by reason. Its
-// methods may be called concurrently.
+// connectionStats counts the connections opened to backend servers, by reason. Its methods
+// may be called concurrently.
 type connectionStats struct {
 	logger logrus.FieldLogger
 	total  *prometheus.CounterVec
 	idle   *prometheus.HistogramVec
 
 	mu             sync.Mutex
-	openedByReason map[backendconn.Reason]int // since the last record
+	openedByReason map[backendconn.Reason]int // since the last log entry
 	idleByReason   map[backendconn.Reason]*idleTimes
 }
 
-// idleTimes sums up the idle times before openings of one reason, and the idle
-// timeouts that the backend servers had stated, 0 for none.
+// idleTimes summarizes the idle times before connections were opened for one reason, and
+// the idle timeouts that the backend servers had stated, 0 for none.
 type idleTimes struct {
 	Min       int64 `json:"least_ms"`
 	Mean      int64 `json:"mean_ms"`
@@ -63,7 +63,7 @@
 	return c
 }
 
-// newPool returns a pool whose openings are counted.
+// newPool returns a pool that reports its opened connections to counted.
 func newPool(counted *connectionStats) *backendconn.Pool {
 	pool := backendconn.NewPool()
 	pool.OnOpen(counted.opened)
@@ -75,7 +75,7 @@
 	c.idleByReason = make(map[backendconn.Reason]*idleTimes)
 }
 
-// opened counts a connection.
+// opened counts an opened connection.
 func (c *connectionStats) opened(opening backendconn.Opening) {
 	c.total.WithLabelValues(string(opening.Reason)).Inc()
 	if opening.FollowsIdle() {
@@ -87,12 +87,12 @@
 	if !opening.FollowsIdle() {
 		return
 	}
-	known := c.idleByReason[opening.Reason]
-	if known == nil {
-		known = &idleTimes{}
-		c.idleByReason[opening.Reason] = known
+	times := c.idleByReason[opening.Reason]
+	if times == nil {
+		times = &idleTimes{}
+		c.idleByReason[opening.Reason] = times
 	}
-	known.add(opening)
+	times.add(opening)
 }
 
 func (t *idleTimes) add(opening backendconn.Opening) {
@@ -107,12 +107,12 @@
 	t.Mean = t.sum.Milliseconds() / t.count
 }
 
-// run logs what was opened until the context ends.
+// run logs the opened connections periodically until the context ends.
 func (c *connectionStats) run(ctx context.Context) error {
 	return every(ctx, connectionLogInterval, c.logOpened)
 }
 
-// logOpened logs what was opened since the last call, if anything, and counts anew.
+// logOpened logs the connections opened since the last call, if any, and resets the counts.
 func (c *connectionStats) logOpened() {
 	c.mu.Lock()
 	opened, idle := c.openedByReason, c.idleByReason
--- /dev/null
+++ b/internal/gate/crash_detector.go
@@ -0,0 +1,264 @@
+package gate
+
+import (
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/samber/lo"
+
+	"github.com/bluebellchute/bluebellchute/internal/boottime"
+)
+
+const (
+	// silenceTimeout is how long a backend server must show no sign of life after a
+	// connection to it was reset before it counts as down.
+	silenceTimeout = 1500 * time.Millisecond
+	// reportedSilenceTimeout replaces silenceTimeout if routers report running requests at
+	// the server. A router sees only some of the answers, and other routers' reports of a
+	// crashed server are more than a second old only when those routers have stopped.
+	reportedSilenceTimeout = 2500 * time.Millisecond
+	// reportWindow is the end of either timeout, in which reports count. Earlier ones may
+	// be older than the crash.
+	reportWindow = 500 * time.Millisecond
+	// minReportedRunning is how much of reportWindow requests must be reported as running
+	// for the server to count as alive. A request whose connection is just being refused
+	// shows in one report, which holds for one round of heartbeats, 100 ms.
+	minReportedRunning = 150 * time.Millisecond
+	// maxJudgeGap is the maximum time between two calls of judge that counts as watched. A
+	// router that was suspended has seen no sign of life, whatever the server did.
+	maxJudgeGap = 200 * time.Millisecond
+	// oldConnectionMargin is the time after a reset from which data on an older connection
+	// shows that the server is alive. It starts again after each suspension of the router.
+	// Data received before a crash may be read later.
+	oldConnectionMargin = 250 * time.Millisecond
+	// maxPendingResets bounds the resets without a verdict. A crash of a backend server
+	// adds all requests that it was running.
+	maxPendingResets = 4096
+)
+
+// resetVerdict is the cause of a reset connection. Its values are those of the metric's
+// label.
+type resetVerdict string
+
+const (
+	resetServerWentOn resetVerdict = "server_went_on"
+	resetServerDown   resetVerdict = "server_down"
+)
+
+// pendingReset is a connection that was reset while a request was running, and has no
+// verdict yet.
+type pendingReset struct {
+	fingerprint     uint64 // of the request
+	noticedAt       boottime.Instant
+	watched         time.Duration // time since noticedAt, suspensions excluded
+	sinceSuspension time.Duration // part of watched since the last suspension
+	reportedRunning time.Duration // part of reportWindow in which requests were reported there
+	extended        bool          // whether reportedSilenceTimeout applies
+	refused         bool          // whether the server refused a connection afterwards
+}
+
+// judgedResets are resets at one backend server that got the same verdict together.
+type judgedResets struct {
+	incarnation  string
+	verdict      resetVerdict
+	fingerprints []uint64
+}
+
+// crashDetector decides which reset connections are crashes of backend servers. A reset
+// gets its verdict when its server shows that it is alive, or when it has shown no sign of
+// life for some time. The current time and all other inputs are parameters. Its methods may
+// be called concurrently.
+type crashDetector struct {
+	mu           sync.Mutex
+	byServer     map[string][]pendingReset // by incarnation
+	byRequest    map[uint64]int            // pending resets by fingerprint of the request
+	lastJudged   boottime.Instant          // time of the last call of judge
+	pendingCount atomic.Int64              // resets in byServer
+}
+
+func newCrashDetector() *crashDetector {
+	return &crashDetector{byServer: make(map[string][]pendingReset), byRequest: make(map[uint64]int)}
+}
+
+// addReset records that a connection was reset while a request sent at the given time was
+// running. Copies of a request whose connections are reset together count once. It does
+// nothing when too many resets are pending.
+func (w *crashDetector) addReset(incarnation string, fingerprint uint64, sentAt, now boottime.Instant) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.pendingCount.Load() >= maxPendingResets {
+		return
+	}
+	for _, pending := range w.byServer[incarnation] {
+		if pending.fingerprint == fingerprint && sentAt <= pending.noticedAt {
+			return
+		}
+	}
+	w.byServer[incarnation] = append(w.byServer[incarnation], pendingReset{fingerprint: fingerprint, noticedAt: now})
+	w.byRequest[fingerprint]++
+	w.pendingCount.Add(1)
+}
+
+// dataReceived records that data from the server was read at now, on the connection of a
+// request sent at the given time. It returns the resets that were not crashes. Most calls
+// find no pending resets and take no lock.
+func (w *crashDetector) dataReceived(incarnation string, sentAt, now boottime.Instant) judgedResets {
+	if w.pendingCount.Load() == 0 {
+		return judgedResets{}
+	}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	suspended := now.Sub(w.lastJudged) > maxJudgeGap // the data may have arrived before a suspension of the router
+	return w.resolve(incarnation, resetServerWentOn, func(r *pendingReset) bool {
+		if sentAt > r.noticedAt {
+			// After a refused connection the answer comes from a restarted server.
+			return !r.refused
+		}
+		return !suspended && r.sinceSuspension >= oldConnectionMargin
+	})
+}
+
+// connectionRefused records that the server refused a connection for a request placed at
+// the given time: nothing is listening there.
+func (w *crashDetector) connectionRefused(incarnation string, placedAt boottime.Instant) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	resets := w.byServer[incarnation]
+	for i := range resets {
+		if placedAt > resets[i].noticedAt {
+			resets[i].refused = true
+		}
+	}
+}
+
+// due reports whether judge is to be called.
+func (w *crashDetector) due(now boottime.Instant) bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return now.Sub(w.lastJudged) >= judgeInterval/2
+}
+
+// incarnations returns those with pending resets.
+func (w *crashDetector) incarnations() []string {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return lo.Keys(w.byServer)
+}
+
+// serverReport is what is known of an incarnation apart from its answers.
+type serverReport int
+
+const (
+	reportIdle     serverReport = iota // no router reports requests there
+	reportRunning                      // this router or another has requests there
+	reportUnlisted                     // it is no longer listed, or has restarted
+)
+
+// judge returns the resets that get their verdict now. Time counts as watched only while it
+// is called at least once per maxJudgeGap.
+func (w *crashDetector) judge(now boottime.Instant, report func(incarnation string) serverReport) []judgedResets {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	step := now.Sub(w.lastJudged)
+	w.lastJudged = now
+	var judged []judgedResets
+	for incarnation, resets := range w.byServer {
+		reported := report(incarnation)
+		for i := range resets {
+			resets[i].advance(step, now, reported == reportRunning)
+		}
+		for _, verdict := range []resetVerdict{resetServerDown, resetServerWentOn} {
+			reset := w.resolve(incarnation, verdict, func(r *pendingReset) bool { return r.verdict(reported) == verdict })
+			if len(reset.fingerprints) > 0 {
+				judged = append(judged, reset)
+			}
+		}
+	}
+	return judged
+}
+
+// advance adds the time since the last call of judge, or since the reset if that was later.
+func (r *pendingReset) advance(step time.Duration, now boottime.Instant, running bool) {
+	step = max(min(step, now.Sub(r.noticedAt)), 0)
+	suspended := step > maxJudgeGap
+	step = min(step, maxJudgeGap)
+	r.watched += step
+	r.sinceSuspension += step
+	if suspended {
+		r.sinceSuspension = 0
+	}
+	if running {
+		// Only the part of the step that lies in reportWindow counts.
+		limit := r.silenceLimit()
+		r.reportedRunning += max(min(r.watched, limit)-max(r.watched-step, limit-reportWindow), 0)
+	}
+	if !r.extended && r.reportedRunning > 0 && r.watched >= silenceTimeout {
+		r.extended, r.reportedRunning = true, 0
+	}
+}
+
+// silenceLimit returns how long the server may show no sign of life.
+func (r *pendingReset) silenceLimit() time.Duration {
+	if r.extended {
+		return reportedSilenceTimeout
+	}
+	return silenceTimeout
+}
+
+// verdict returns the verdict on the reset, or "" if there is none yet.
+func (r *pendingReset) verdict(reported serverReport) resetVerdict {
+	switch {
+	case r.watched < silenceTimeout:
+		return ""
+	case r.refused || reported == reportUnlisted:
+		return resetServerDown
+	case r.watched < r.silenceLimit():
+		return ""
+	case r.reportedRunning >= minReportedRunning:
+		return resetServerWentOn
+	}
+	return resetServerDown
+}
+
+// resolve removes the resets at a server to which the verdict applies and returns them.
+func (w *crashDetector) resolve(incarnation string, verdict resetVerdict, applies func(r *pendingReset) bool) judgedResets {
+	judged := judgedResets{incarnation: incarnation, verdict: verdict}
+	resets := w.byServer[incarnation]
+	if len(resets) == 0 {
+		return judged
+	}
+	kept := resets[:0]
+	for _, r := range resets {
+		if applies(&r) {
+			judged.fingerprints = append(judged.fingerprints, r.fingerprint)
+			w.forget(r.fingerprint)
+			continue
+		}
+		kept = append(kept, r)
+	}
+	w.byServer[incarnation] = kept
+	if len(kept) == 0 {
+		delete(w.byServer, incarnation)
+	}
+	w.pendingCount.Add(-int64(len(judged.fingerprints)))
+	return judged
+}
+
+// forget removes one pending reset of the request from the count.
+func (w *crashDetector) forget(fingerprint uint64) {
+	w.byRequest[fingerprint]--
+	if w.byRequest[fingerprint] == 0 {
+		delete(w.byRequest, fingerprint)
+	}
+}
+
+// pendingFor returns how many resets of the request have no verdict yet.
+func (w *crashDetector) pendingFor(fingerprint uint64) int {
+	if w.pendingCount.Load() == 0 {
+		return 0
+	}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.byRequest[fingerprint]
+}
--- a/internal/gate/breaks.go
+++ b/internal/gate/crash_verdicts.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	// judgeInterval is the pause between two looks at pending breaks, half of
-	// breakStepMost, so that a late look loses no watched time.
+	// judgeInterval is the interval at which pending resets are judged. It is half of
+	// maxJudgeGap, so that a late call loses no watched time.
 	judgeInterval = maxJudgeGap / 2
-	// holdPollInterval is the pause between two looks at the breaks of a held request.
+	// holdPollInterval is the interval at which the resets of a held request are checked.
 	holdPollInterval = 20 * time.Millisecond
-	// maxHold is how long a request is held. A server that lives and streams to other
-	// callers shows it sooner, as breakMargin and two looks have passed by then; for a
-	// later verdict the caller comes back.
+	// maxHold is how long a request is held. If its server is alive and streams to other
+	// callers, that shows within oldConnectionMargin and two checks; for a later verdict
+	// the caller has to retry.
 	maxHold = 500 * time.Millisecond
 )
 
-// judgeResets gives broken connections their verdicts until the context ends.
+// judgeResets judges reset connections until the context ends.
 func (h *handler) judgeResets(ctx context.Context) error {
 	return every(ctx, judgeInterval, func() { h.judgeDue(boottime.Now()) })
 }
 
-// judgeDue gives the verdicts that are due, unless that was done a moment ago.
+// judgeDue judges the pending resets, unless that has just been done.
 func (h *handler) judgeDue(now boottime.Instant) {
 	if !h.crashDetector.due(now) {
 		return
@@ -42,8 +42,8 @@
 	}
 }
 
-// serverReports returns what is known of the incarnations with pending breaks. A crash
-// breaks all requests there, and new ones can't be sent.
+// serverReports returns what is known of the incarnations with pending resets. A crash
+// resets all connections there, and no new requests can be sent to it.
 func (h *handler) serverReports() map[string]serverReport {
 	reports := make(map[string]serverReport)
 	for _, incarnation := range h.crashDetector.incarnations() {
@@ -53,7 +53,7 @@
 		return reports
 	}
 	for _, backend := range h.state.View().Backends {
-		if _, broken := reports[backend.Incarnation]; broken {
+		if _, pending := reports[backend.Incarnation]; pending {
 			reports[backend.Incarnation] = h.serverReport(backend)
 		}
 	}
@@ -68,7 +68,8 @@
 	return reportIdle
 }
 
-// applyVerdict counts breaks by their verdict, and those by crashes against their requests.
+// applyVerdict counts resets by their verdict, and counts crashes against the requests that
+// were running.
 func (h *handler) applyVerdict(judged judgedResets) {
 	if len(judged.fingerprints) == 0 {
 		return
@@ -78,43 +79,42 @@
 	if judged.verdict != resetServerDown {
 		return
 	}
-	for _, print := range judged.fingerprints {
-		h.suspects.crashed(print)
+	for _, fingerprint := range judged.fingerprints {
+		h.suspects.crashed(fingerprint)
 	}
 }
 
-// dataReceived notes that data of a backend server's were read now, for a request that was sent
-// at the moment.
+// dataReceived records that data from a backend server was read at now, for a request sent
+// at the given time.
 func (h *handler) dataReceived(backend *knowledge.Backend, sent, now boottime.Instant) {
 	h.applyVerdict(h.crashDetector.dataReceived(backend.Incarnation, sent, now))
 }
 
-// observeConnectError notes a connection that a backend server refused, for a request that was
-// placed at the moment.
+// observeConnectError records the error if the backend server refused a connection for a
+// request that was placed at the given time.
 func (h *handler) observeConnectError(backend *knowledge.Backend, placed boottime.Instant, err error) {
 	if errors.Is(err, syscall.ECONNREFUSED) && backendconn.ProgressOf(err) == backendconn.ProgressNone {
 		h.crashDetector.connectionRefused(backend.Incarnation, placed)
 	}
 }
 
-// awaitVerdicts holds a request back for a moment that will be refused if its pending
-// breaks turn out to be crashes: a caller that tries again at once would else break a
-// server with each try until the first verdict. It returns the refusal, nil to run the
-// request.
+// awaitVerdicts briefly holds a request that has to be refused if its pending resets turn
+// out to be crashes. Otherwise a caller that retries immediately would crash a server with
+// each attempt until the first verdict. It returns the refusal, or nil to run the request.
 func (h *handler) awaitVerdicts(ctx context.Context, request *Request) *Refusal {
-	until := boottime.Now().Add(maxHold)
+	deadline := boottime.Now().Add(maxHold)
 	for held := false; ; held = true {
-		convicted := h.suspects.count(request.Fingerprint)
-		if convicted >= maxCrashes {
+		crashes := h.suspects.count(request.Fingerprint)
+		if crashes >= maxCrashes {
 			return &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonSuspect, RetryAfter: suspectRetryAfter}
 		}
-		if convicted+h.crashDetector.pendingFor(request.Fingerprint) < maxCrashes {
+		if crashes+h.crashDetector.pendingFor(request.Fingerprint) < maxCrashes {
 			if held {
 				return h.identifyAgain(request)
 			}
 			return nil
 		}
-		if boottime.Now() >= until {
+		if boottime.Now() >= deadline {
 			return &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonSuspect, RetryAfter: silenceTimeout}
 		}
 		select {
@@ -126,15 +126,15 @@
 	}
 }
 
-// identifyAgain returns the refusal of a request that was held, nil to run it: its key may
-// have been withdrawn meanwhile, or what is known may have become too old for it.
+// identifyAgain returns the refusal of a request that was held, or nil to run it. Its key
+// may have been withdrawn meanwhile, or the fleet state may have become too old for it.
 func (h *handler) identifyAgain(request *Request) *Refusal {
-	again := *request
-	return identify(&again, h.state.View(), h.settings.get().Freshness, rand.Float64())
+	copied := *request
+	return identify(&copied, h.state.View(), h.settings.get().Freshness, rand.Float64())
 }
 
-// holdEndedRefusal returns the refusal of a request that was held until its time ran out, its
-// caller left or draining ended. It has not run.
+// holdEndedRefusal returns the refusal of a request that was held until its time ran out,
+// its caller disconnected or draining ended. It has not run.
 func (h *handler) holdEndedRefusal(ctx context.Context, request *Request) *Refusal {
 	if cancelledByDrain(ctx) {
 		refusal := drainRefusal()
--- a/internal/gate/drain.go
+++ b/internal/gate/drain.go
@@ -11,28 +11,29 @@
 	"github.com/bluebellchute/bluebellchute/internal/boottime"
 )
 
-// drainRetryAfter is the time to come back for a request that a draining router does not take.
-// Other routers serve it at once.
+// drainRetryAfter is the Retry-After for a request that a draining router refuses. Other
+// routers can serve it immediately.
 const drainRetryAfter = 50 * time.Millisecond
 
-// errDrainEnded is the cause of the end of requests that are in progress when draining ends.
+// errDrainEnded is the cause with which requests still in progress are cancelled when
+// draining ends.
 var errDrainEnded = errors.New("draining has ended")
 
-// drainState tells how far the process is on its way to its end. Its methods may be called
-// concurrently.
+// drainState tracks the shutdown of the process. Its methods may be called concurrently.
 //
-// Before the signal to stop, and while the balancer may not have heard of it, all requests
-// are taken. After that the listener is closed and requests come on open connections only.
-// Such a request is taken only if its time limit ends before the process does: otherwise it
-// might be cut in the middle. A request that has been sent to a backend server may be sent to
-// another one until the end. What is in progress then gets a final answer.
+// All requests are accepted before the stop signal, and after it until the load balancer
+// has had time to notice. Then the listener is closed and requests arrive on open
+// connections only. Such a request is accepted only if its time limit ends before the
+// process does; otherwise its answer might be cut off. A request that has already been sent
+// to a backend server may be retried at another one until the end. Requests still in
+// progress then get a final answer.
 type drainState struct {
-	startedAt      atomic.Int64 // boottime.Instant of the signal to stop, 0 before it
-	deadline       atomic.Int64 // boottime.Instant at which requests in progress are ended
-	listenerClosed atomic.Bool  // no connections are accepted any more
+	startedAt      atomic.Int64 // boottime.Instant of the stop signal, 0 before it
+	deadline       atomic.Int64 // boottime.Instant at which requests in progress are cancelled
+	listenerClosed atomic.Bool
 
-	requests context.Context         // that of all requests descends from it
-	cancel   context.CancelCauseFunc // ends it
+	requests context.Context // parent of all requests' contexts
+	cancel   context.CancelCauseFunc
 }
 
 func newDrainState() *drainState {
@@ -40,20 +41,21 @@
 	return &drainState{requests: requests, cancel: cancel}
 }
 
-// start notes the signal to stop and when requests in progress will be ended.
-func (d *drainState) start(now, ends boottime.Instant) {
-	d.deadline.Store(int64(ends))
-	d.startedAt.Store(int64(now))
+// start records the stop signal and the time at which requests in progress will be
+// cancelled.
+func (d *drainState) start(startedAt, deadline boottime.Instant) {
+	d.deadline.Store(int64(deadline))
+	d.startedAt.Store(int64(startedAt))
 }
 
 func (d *drainState) draining() bool { return d.startedAt.Load() != 0 }
 
-// elapsed returns the time since the signal to stop.
+// elapsed returns the time since the stop signal.
 func (d *drainState) elapsed(now boottime.Instant) time.Duration {
 	return now.Sub(boottime.Instant(d.startedAt.Load()))
 }
 
-// accepts tells whether a request that has not been sent to a backend server may be.
+// accepts reports whether a request that has not been sent to a backend server yet may be.
 func (d *drainState) accepts(request *Request, now boottime.Instant) bool {
 	switch {
 	case !d.listenerClosed.Load():
@@ -64,13 +66,13 @@
 	return request.Remaining(now) <= boottime.Instant(d.deadline.Load()).Sub(now)
 }
 
-// end ends the requests in progress and takes none any more.
+// end cancels the requests in progress and accepts no more.
 func (d *drainState) end() { d.cancel(errDrainEnded) }
 
-// cancelledByDrain tells whether the context ended because draining has ended.
+// cancelledByDrain reports whether the context was cancelled because draining ended.
 func cancelledByDrain(ctx context.Context) bool { return context.Cause(ctx) == errDrainEnded }
 
-// drainRefusal is the answer to a request that may not be sent any more and has not run.
+// drainRefusal returns the answer to a request that has not run and may no longer be sent.
 func drainRefusal() Refusal {
 	return Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonDraining, RetryAfter: drainRetryAfter}
 }
--- a/internal/gate/handler.go
+++ b/internal/gate/handler.go
@@ -21,20 +21,21 @@
 // Settings are the settings of a gate.
 type Settings struct {
 	Freshness Freshness
-	Revoke    time.Duration // from the withdrawal of a key until no request with it runs
+	Revoke    time.Duration // maximum time after the withdrawal of a key in which requests with it run
 	Budget    RetryBudgetSettings
 	Cold      ColdSettings
-	Evacuate  time.Duration // from an order to evacuate a zone until nothing is sent there, 0 for none
+	Evacuate  time.Duration // maximum time from an order to evacuate a zone until no requests are sent there, 0 for none
 	Admission policy.Settings
 	Engines   EngineSettings
 	Plain     PlainSettings
-	// BodyMemory bounds the bytes of all requests that are held at once.
+	// BodyMemory bounds the total size of the request bodies held at the same time, in
+	// bytes.
 	BodyMemory int64
 }
 
-// EngineSettings tell what is made of the differences between backend servers.
+// EngineSettings control how differences between backend servers are taken into account.
 type EngineSettings struct {
-	Pace         bool // go by the pace of each
+	Pace         bool // consider the pace of each backend server
 	OwnZoneFirst bool // see near
 }
 
@@ -65,29 +66,30 @@
 	requestLog        *requestLog
 	metrics           *metrics
 	startedAt         boottime.Instant
-	bodyBytes         atomic.Int64 // bytes of the requests held
+	bodyBytes         atomic.Int64 // total size of the request bodies held
 	drain             *drainState
-	closeAfterAnswer  func() bool // whether connections are to be closed after their answers
-	isolated          atomic.Bool // whether callers are served better elsewhere
-	drainedByOperator atomic.Bool // whether an operator wants callers to go elsewhere
+	closeAfterAnswer  func() bool // whether connections are to be closed after their next answers
+	isolated          atomic.Bool // whether the store answers other routers but not this one
+	drainedByOperator atomic.Bool // whether an operator has drained the router
 	lag               *lagMeter
 }
 
-// ServeHTTP implements http.Handler. A request meets the decisions in this order; each
-// refuses at once, and the cheaper ones come first:
+// ServeHTTP implements http.Handler. A request passes these checks in order; each can
+// refuse it immediately, and the cheaper ones come first:
 //
-//  1. identify: route, account, and whether what is known is young enough for them.
-//  2. drainState: whether it ends before the process does, once that drains.
-//  3. lagMeter: whether the processor gets on; what goes beyond the shares is cut first.
+//  1. identify: route, account, and whether the fleet state is recent enough for them.
+//  2. drainState: whether the request ends before the process does, while that drains.
+//  3. lagMeter: whether the processor keeps up; requests beyond their account's share are
+//     refused first.
 //  4. readBody: whether there is memory for the body.
-//  5. suspects: whether the request breaks backend servers. It waits where that turns on
-//     breaks whose verdict is pending.
-//  6. admission.place: the tier that the account's standing gives it, the backend
-//     servers that may take anything (not leaving, closed, evacuated, shunned, or cold
-//     with nothing left of their bound), and one among them within the tier's bounds. For
-//     a plain service, with [plain] admission: one with a free slot, or a wait for one
-//     within the request's budget.
-//  7. retryBudget: for each further send, whether the fleet may still make one.
+//  5. suspects: whether the request crashes backend servers. It waits if that depends on
+//     reset connections whose verdict is pending.
+//  6. admission.place: the tier by the account's usage, the backend servers that may get
+//     requests (not draining, rejecting, evacuated, excluded after failures, or cold with
+//     their bound used up), and one of them within the tier's limits. For a plain service
+//     with [plain] admission: one with a free slot, or a wait for one within the request's
+//     budget.
+//  7. retryBudget: for each retry, whether the fleet may still send one.
 func (h *handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	received := boottime.Now()
 	if h.lag.busy(received) || h.closeAfterAnswer() || h.isolated.Load() || h.drainedByOperator.Load() {
@@ -110,12 +112,13 @@
 		h.refuse(w, request, drainRefusal())
 		return
 	}
-	// What is refused counts too: the others would else use the account's part.
+	// Refused requests count as well; otherwise the other accounts would use this account's
+	// share.
 	h.admission.recordRequest(request)
 	h.requestLog.tally.addRequested(request)
 	owed := func() bool { return h.admission.withinShare(request, view) }
 	if !h.lag.accepts(received, owed, rand.Float64()) {
-		// Requests in progress would not get on if more were taken.
+		// Accepting more would stall the requests in progress.
 		retry := h.admission.retryAfter(request)
 		h.refuse(w, request, Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonOverloaded, RetryAfter: retry})
 		return
@@ -134,7 +137,8 @@
 	h.serve(ctx, w, request)
 }
 
-// recordAcceptedDraining tells of a request that is taken although no connections are accepted any more.
+// recordAcceptedDraining counts and logs a request that is accepted after the listener was
+// closed.
 func (h *handler) recordAcceptedDraining(ctx context.Context, request *Request) {
 	if !h.drain.listenerClosed.Load() {
 		return
@@ -143,45 +147,45 @@
 	h.requestLog.acceptedDraining(request, h.drain.elapsed(request.Received), callerConnOf(ctx))
 }
 
-// writeSlack is how long after its limit an answer may still be on its way to
-// a caller that reads slowly.
+// writeSlack is how long after its time limit an answer may still be written to a caller
+// that reads slowly.
 const writeSlack = 2 * time.Second
 
-// setWriteDeadline ends writes to a caller that does not read. Its answer would else be
-// held for good.
+// setWriteDeadline bounds writes to a caller that does not read. Otherwise its answer would
+// be held indefinitely.
 func (h *handler) setWriteDeadline(w http.ResponseWriter, request *Request) {
 	control := http.NewResponseController(w)
-	// Connections of tests have no deadlines; those of callers do.
+	// Connections in tests support no deadlines; those of callers do.
 	_ = control.SetWriteDeadline(time.Now().Add(request.Timeout + writeSlack))
 }
 
-// readBody reads the whole body, so that a request that breaks off on its way
-// in is never sent on. It returns the bytes counted in.
+// readBody reads the complete body, so that a request whose body breaks off is never
+// forwarded. It returns the bytes added to bodyBytes.
 func (h *handler) readBody(w http.ResponseWriter, r *http.Request, request *Request, view *knowledge.View) (int64, *Refusal) {
 	if r.Body == nil || r.Body == http.NoBody {
 		return 0, nil
 	}
-	most := int64(view.Index.Configuration.Limits.BodyBytes)
+	limit := int64(view.Index.Configuration.Limits.BodyBytes)
 	counted := max(r.ContentLength, 0)
-	if most > 0 && counted > most {
+	if limit > 0 && counted > limit {
 		return 0, &Refusal{Status: http.StatusRequestEntityTooLarge, Reason: ReasonBodyTooLarge}
 	}
 	if h.bodyBytes.Add(counted) > h.settings.get().BodyMemory {
 		return counted, &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonMemory, RetryAfter: startRetryAfter}
 	}
 	control := http.NewResponseController(w)
-	_ = control.SetReadDeadline(time.Now().Add(request.Timeout)) // as in bound
+	_ = control.SetReadDeadline(time.Now().Add(request.Timeout)) // as in setWriteDeadline
 	body := io.Reader(r.Body)
-	if most > 0 {
-		body = http.MaxBytesReader(w, r.Body, most)
+	if limit > 0 {
+		body = http.MaxBytesReader(w, r.Body, limit)
 	}
 	data, err := io.ReadAll(body)
-	// The deadline would else end the read that notices a leaving caller.
+	// Otherwise the deadline would end the read that detects a disconnected caller.
 	_ = control.SetReadDeadline(time.Time{})
 	request.Body = data
-	if more := int64(len(data)) - counted; more > 0 {
-		h.bodyBytes.Add(more)
-		counted += more
+	if uncounted := int64(len(data)) - counted; uncounted > 0 {
+		h.bodyBytes.Add(uncounted)
+		counted += uncounted
 	}
 	var tooLarge *http.MaxBytesError
 	switch {
@@ -200,21 +204,21 @@
 		h.refuse(w, request, *refusal)
 		return
 	}
-	run := &relay{handler: h, request: request, writer: w, excluded: make(map[string]bool)}
-	run.loop(ctx)
+	relay := &relay{handler: h, request: request, writer: w, excluded: make(map[string]bool)}
+	relay.loop(ctx)
 }
 
-// suspectRetryAfter is the time to come back for a request that breaks backend
-// servers. It is long, as nothing will have changed.
+// suspectRetryAfter is the Retry-After for a request that crashes backend servers. It is
+// long, as a retry will have the same result.
 const suspectRetryAfter = 5 * time.Second
 
-// refusalBody is the body of an answer of the router's own.
+// refusalBody is the body of a refusal by the router itself.
 type refusalBody struct {
 	Error Reason `json:"error"`
 }
 
-// writeHead writes the head of an answer. A request may have come before the signal to stop,
-// so it is known only now whether its connection will be closed.
+// writeHead writes the header of an answer. The request may have come before the stop
+// signal, so it is only known now whether its connection will be closed.
 func (h *handler) writeHead(w http.ResponseWriter, status int) {
 	if h.drain.draining() {
 		w.Header().Set("Connection", "close")
@@ -222,7 +226,7 @@
 	w.WriteHeader(status)
 }
 
-// refuse answers a request that no backend server has answered.
+// refuse answers a request that has no answer from a backend server.
 func (h *handler) refuse(w http.ResponseWriter, request *Request, refusal Refusal) {
 	h.requestLog.refused(request, refusal)
 	h.metrics.refused(refusal)
@@ -237,5 +241,5 @@
 	}
 	header.Set("Content-Length", strconv.Itoa(len(body)))
 	h.writeHead(w, refusal.Status)
-	_, _ = w.Write(body) // a caller that has gone needs no answer
+	_, _ = w.Write(body) // the caller may have disconnected
 }
--- a/internal/gate/lag.go
+++ b/internal/gate/lag.go
@@ -15,60 +15,60 @@
 )
 
 const (
-	// lagInterval is the pause between two measurements.
+	// lagInterval is the interval between two measurements.
 	lagInterval = 50 * time.Millisecond
 	// lagWeight is the weight of the newest measurement in the average.
 	lagWeight = 0.2
-	// maxLag bounds one measurement, so that a single standstill of the whole
-	// VM, which is over when it is seen, does not count as overload.
+	// maxLag bounds one measurement, so that a single suspension of the whole VM, which is
+	// over by the time it is measured, does not count as overload.
 	maxLag = 120 * time.Millisecond
-	// overloadLag is the average lag from which the router leaves callers
-	// to others. A request waits for its turn several times.
+	// overloadLag is the average lag above which the router counts as overloaded. A request
+	// waits for the processor several times.
 	overloadLag = 30 * time.Millisecond
-	// stallLag is the lag from which a measurement that is not over yet counts
-	// as overload, and callers are turned away. With a longer one requests in hand
-	// stand for seconds.
+	// stallLag is the lag from which a measurement still in progress counts as a stall,
+	// during which connections are refused. With a higher value requests in progress stall
+	// for seconds.
 	stallLag = 40 * time.Millisecond
-	// recoveredLag is the average lag at which it takes callers again.
+	// recoveredLag is the average lag below which the router accepts more again.
 	recoveredLag = 10 * time.Millisecond
-	// shareDecrease is what is left of the share of requests that are taken after
-	// each measurement above overloadedFrom, shareLeast bounds it, and
-	// shareIncrease is added after each measurement below relievedAt. A refusal costs a good
-	// part of what an answer costs, so a smaller least share gains little time.
+	// The share of requests that are accepted is multiplied by shareDecrease after each
+	// measurement above overloadLag, but not below minShare, and raised by shareIncrease
+	// after each measurement below recoveredLag. A refusal costs a good part of what an
+	// answer costs, so a lower minShare would gain little.
 	shareDecrease = 0.8
 	minShare      = 0.3
 	shareIncrease = 0.01
-	// owedShare is the share down to which only requests beyond the shares are
-	// cut.
+	// owedShare is the share of accepted requests down to which only requests beyond their
+	// accounts' shares are refused.
 	owedShare = 0.5
-	// minOverload is the least time in between. The balancer needs two
-	// seconds to notice either.
+	// minOverload is how long the router counts as overloaded at least. The load balancer
+	// needs two seconds to notice a change.
 	minOverload = 3 * time.Second
 )
 
-// lagMeter measures how long a goroutine waits for its turn, to notice a router
-// that gets more callers than its processor can serve. Callers are spread over
-// routers by a hash, so one may get many times what the others get.
+// lagMeter measures how long a goroutine waits for the processor, to detect that a router
+// gets more callers than it can serve. Callers are spread over routers by a hash, so one
+// router may get many times as many as the others.
 //
-// Goroutines that a timer or another goroutine wakes run first. Those that wait
-// for the network stand in the queue that a goroutine joins when it yields; on
-// a busy processor they wait for seconds there, while new requests are read and
-// sent on at once. So it is the yielding that is measured, not a timer.
+// Goroutines that are woken by a timer or another goroutine run first. Those that wait for
+// the network are in the queue that a goroutine joins when it yields; on a busy processor
+// they wait there for seconds while new requests are read and forwarded immediately.
+// Therefore the meter yields and measures that, rather than a timer.
 //
-// What is taken is cut step by step and not altogether: all callers of an
-// account may come to one router, and refused altogether there, the account
-// gets less than half its share for as long as the balancer sends them from
-// one small VM to the next.
+// The share of accepted requests is reduced step by step rather than to zero: all callers
+// of an account may come to one router. If that refused all of them, the account would get
+// less than half its share for as long as the load balancer moves them from one small VM to
+// the next.
 type lagMeter struct {
 	logger          logrus.FieldLogger
 	sheddingSeconds prometheus.Counter // seconds
 
 	overloaded   atomic.Bool
-	shareBits    atomic.Uint64    // share of requests that are taken, as bits of a float64
-	yieldedAt    atomic.Int64     // boot-time clock at the yield that is not over yet, 0 for none
+	shareBits    atomic.Uint64    // share of requests that are accepted, as bits of a float64
+	yieldedAt    atomic.Int64     // boottime.Instant of the yield in progress, 0 for none
 	averageLag   atomic.Int64     // of the lag, nanoseconds
-	lastShed     atomic.Int64     // boot-time clock when callers were turned away last
-	lastOverload boottime.Instant // when the overload was noticed last
+	lastShed     atomic.Int64     // boottime.Instant when connections were last refused
+	lastOverload boottime.Instant // when an overload was last seen
 }
 
 func newLagMeter(logger logrus.FieldLogger, registerer prometheus.Registerer) *lagMeter {
@@ -100,7 +100,7 @@
 	})
 }
 
-// observe takes one measurement.
+// observe records one measurement.
 func (m *lagMeter) observe(lag time.Duration, now boottime.Instant) {
 	lag = min(lag, maxLag)
 	average := time.Duration(m.averageLag.Load())
@@ -123,22 +123,22 @@
 	}
 }
 
-// busy tells whether the processor is overloaded at the moment.
+// busy reports whether the processor is overloaded.
 func (m *lagMeter) busy(now boottime.Instant) bool { return m.overloaded.Load() || m.stalledAt(now) }
 
-// stalledAt tells whether goroutines have been waiting for long already.
+// stalledAt reports whether a measurement in progress has exceeded stallLag.
 func (m *lagMeter) stalledAt(now boottime.Instant) bool {
 	yielded := boottime.Instant(m.yieldedAt.Load())
 	return yielded != 0 && now.Sub(yielded) > stallLag
 }
 
-// stalled is stands at this moment.
+// stalled reports whether goroutines are stalled now.
 func (m *lagMeter) stalled() bool { return m.stalledAt(boottime.Now()) }
 
-// accepts tells whether a request is taken. drawn is uniform in [0, 1). What goes
-// beyond the shares is cut first, and what is owed only once nothing else is
-// taken any more: a flood from one account must not cost others what is theirs.
-// owed is asked only while something is cut.
+// accepts reports whether a request is accepted; drawn is uniform in [0, 1). Requests
+// beyond their accounts' shares are refused first, and those within them only once no
+// others are accepted: a flood from one account must not cost others their shares. owed is
+// only called while some requests are refused.
 func (m *lagMeter) accepts(now boottime.Instant, owed func() bool, drawn float64) bool {
 	if m.stalledAt(now) {
 		return false
@@ -153,17 +153,18 @@
 	return drawn < (share-owedShare)/(1-owedShare)
 }
 
-// recordShedding notes that callers are turned away because of the lag: the balancer has to
-// hear of it.
+// recordShedding records that connections are refused because of the lag, so that the load
+// balancer learns of it.
 func (m *lagMeter) recordShedding() { m.lastShed.Store(int64(boottime.Now())) }
 
-// recordRecovery notes that connections are taken again.
+// recordRecovery records that connections are accepted again, and for how long they were
+// not.
 func (m *lagMeter) recordRecovery(turnedAway time.Duration) {
 	m.sheddingSeconds.Add(turnedAway.Seconds())
 	event.GateLoadShed.Log(m.logger, logrus.Fields{"duration_ms": turnedAway.Milliseconds()})
 }
 
-// recovered tells whether requests wait for their turn no more.
+// recovered reports whether requests get the processor without delay again.
 func (m *lagMeter) recovered() bool {
 	return time.Duration(m.averageLag.Load()) < recoveredLag && !m.stalled()
 }
--- a/internal/gate/manager.go
+++ b/internal/gate/manager.go
@@ -19,14 +19,14 @@
 	"github.com/bluebellchute/bluebellchute/internal/knowledge"
 )
 
-// Options hold what a Manager needs.
+// Options configure a Manager.
 type Options struct {
 	Settings    Settings
 	VM          string        // its name
 	Callers     fleet.Address // the callers' interface
 	Zone        fleet.Zone
-	Connections int           // most callers' connections at once
-	Grace       time.Duration // from the signal to stop until the process is killed
+	Connections int           // maximum number of callers' connections
+	Grace       time.Duration // from the stop signal until the process is killed
 	Dialect     Dialect
 	State       *knowledge.State
 	Peers       Peers
@@ -43,7 +43,7 @@
 	connectionStats *connectionStats
 }
 
-// NewManager returns a gate that takes no requests yet.
+// NewManager returns a gate that does not accept requests yet.
 func NewManager(options Options) *Manager {
 	settings := newCurrentSettings(options.Settings)
 	admission := newAdmission(settings, options.Zone, options.Peers)
@@ -71,10 +71,10 @@
 	return &Manager{options: options, handler: h, acceptor: entry, connectionStats: connections}
 }
 
-// ApplyConfig takes new settings. Addresses stay as they were at the start.
+// ApplyConfig applies new settings. Addresses stay as they were at the start.
 func (m *Manager) ApplyConfig(settings Settings) { m.handler.settings.set(settings) }
 
-// Handler returns what answers callers' requests.
+// Handler returns the handler of callers' requests.
 func (m *Manager) Handler() http.Handler { return m.handler }
 
 // Run serves callers until the context ends.
@@ -97,7 +97,7 @@
 	return group.Wait()
 }
 
-// watchState applies what becomes known until the context ends.
+// watchState applies changes of the fleet state until the context ends.
 func (m *Manager) watchState(ctx context.Context) error {
 	before := &knowledge.View{}
 	for {
@@ -129,21 +129,21 @@
 }
 
 const (
-	// readinessInterval is the pause between two looks at the readiness.
+	// readinessInterval is the interval at which the readiness is checked.
 	readinessInterval = 100 * time.Millisecond
-	// isolatedChecks is how many looks in a row must find the router isolated.
-	// After an outage of the store some routers reach it sooner than others.
+	// isolatedChecks is how many checks in a row must find the router isolated. After an
+	// outage of the store some routers reach it sooner than others.
 	isolatedChecks = 8
-	// contactAgeShare is the part of the bound for withdrawn keys after which a
-	// router that the store does not answer leaves the callers to others.
+	// contactAgeShare is the fraction of Settings.Revoke after which a router that the
+	// store does not answer counts as isolated.
 	contactAgeShare = 0.5
 )
 
-// watchReadiness tells the balancer whether to send connections here, until
-// the context ends.
+// watchReadiness keeps the readiness that the load balancer asks for up to date until the
+// context ends.
 func (m *Manager) watchReadiness(ctx context.Context) error {
 	reason := reasonUnknown
-	isolatedFor := 0 // rounds
+	isolatedFor := 0 // consecutive checks
 	ticker := time.NewTicker(readinessInterval)
 	defer ticker.Stop()
 	for {
@@ -166,22 +166,22 @@
 	}
 }
 
-// isolated tells whether the store answers others but not this router. What it
-// knows comes from the others then, who serve its callers better: they hear of
-// a withdrawn key or a new route first.
+// isolated reports whether the store answers other routers but not this one. Its fleet
+// state then comes from those others, which serve callers better: they learn of a withdrawn
+// key or a new route first.
 //
-// When the store answers nobody, last contacts still differ by as much as the
-// routers' calls lie apart, so another's must be newer by the whole time.
+// When the store answers nobody, the last contacts still differ by up to the interval of
+// the routers' calls, so another router's contact must be newer by the whole limit.
 func (m *Manager) isolated(view *knowledge.View) bool {
 	if !m.options.Peers.WatchesStore() {
-		return false // it does not call the store
+		return false // it gets the store's data from other routers
 	}
-	most := time.Duration(float64(m.handler.settings.get().Revoke) * contactAgeShare)
-	others := m.options.Peers.StoreContact()
-	return others != 0 && others.Sub(view.StoreContact) > most
+	limit := time.Duration(float64(m.handler.settings.get().Revoke) * contactAgeShare)
+	otherContact := m.options.Peers.StoreContact()
+	return otherContact != 0 && otherContact.Sub(view.StoreContact) > limit
 }
 
-// The reasons why a router takes no connections.
+// The reasons why a router is not ready for connections.
 const (
 	reasonUnknown    = "no configuration or list of backend servers is known"
 	reasonIsolated   = "the store answers other routers only"
@@ -189,7 +189,7 @@
 	reasonDrained    = "drained by an operator"
 )
 
-// notReady returns why the balancer should send no connections, or "".
+// notReady returns why the load balancer should send no connections, or "".
 func (m *Manager) notReady(view *knowledge.View, isolated bool) string {
 	switch {
 	case !view.Ready():
@@ -213,20 +213,20 @@
 	event.GateReadinessChanged.Log(m.options.Logger, logrus.Fields{"ready": reason == "", "reason": reason})
 }
 
-// closeReplaced closes the connections to backend servers that have started again
-// under their ids.
+// closeReplaced closes the connections to backend servers that have restarted under the
+// same ids.
 func (m *Manager) closeReplaced(before, view *knowledge.View) {
 	for id, backend := range view.Backends {
-		known := before.Backends[id]
-		if known == nil || known.Incarnation == backend.Incarnation {
+		previous := before.Backends[id]
+		if previous == nil || previous.Incarnation == backend.Incarnation {
 			continue
 		}
-		m.handler.pool.DropIdle(known.Address)
+		m.handler.pool.DropIdle(previous.Address)
 		event.GateBackendRestarted.Log(m.options.Logger, logrus.Fields{"backend": id, "born": backend.StartedAt})
 	}
 }
 
-// logStore tells that the store has come back from an older copy.
+// logStore logs that the store was restored from an older copy.
 func (m *Manager) logStore(before, view *knowledge.View) {
 	m.handler.metrics.storeEra(view.Position.Era)
 	if view.RestoredAt == before.RestoredAt {
@@ -239,17 +239,17 @@
 	})
 }
 
-// logEvacuations tells of a change of the evacuated zones. A zone without backend
-// servers is named too: it is probably a slip of the operator's.
+// logEvacuations logs changes of the evacuated zones. It names added zones without backend
+// servers, as they are probably an operator's mistake.
 func (m *Manager) logEvacuations(before, view *knowledge.View) {
-	added, taken := lo.Difference(view.Evacuations.Zones, before.Evacuations.Zones)
-	if len(added)+len(taken) == 0 {
+	added, removed := lo.Difference(view.Evacuations.Zones, before.Evacuations.Zones)
+	if len(added)+len(removed) == 0 {
 		return
 	}
 	m.handler.metrics.evacuated(len(view.Evacuations.Zones))
 	empty := lo.Filter(added, func(zone fleet.Zone, _ int) bool { return !hasBackends(view, zone) })
 	event.GateEvacuationsChanged.Log(m.options.Logger, logrus.Fields{
-		"added": added, "taken_back": taken, "without_backends": empty,
+		"added": added, "taken_back": removed, "without_backends": empty,
 		"era": view.Evacuations.Position.Era, "revision": view.Evacuations.Position.Revision,
 	})
 }
@@ -262,8 +262,8 @@
 	added, removed := lo.Difference(lo.Keys(view.Backends), lo.Keys(before.Backends))
 	var leaving []string
 	for id, backend := range view.Backends {
-		known := before.Backends[id]
-		if backend.Draining && (known == nil || !known.Draining) {
+		previous := before.Backends[id]
+		if backend.Draining && (previous == nil || !previous.Draining) {
 			leaving = append(leaving, id)
 		}
 	}
@@ -280,21 +280,21 @@
 }
 
 const (
-	// drainNotice is how long connections are still taken after the signal to stop.
-	// The balancer asks for readiness once a second and goes by two answers.
+	// drainNotice is how long connections are still accepted after the stop signal. The
+	// load balancer checks readiness once a second and reacts after two failed checks.
 	drainNotice = 2500 * time.Millisecond
-	// shutdownMargin is the time kept for ending before the process is killed.
+	// shutdownMargin is the time reserved for shutting down before the process is killed.
 	shutdownMargin = 400 * time.Millisecond
 )
 
-// Drain implements daemon.Service: it tells the balancer, takes connections
-// until the balancer has heard, and lets the requests in progress end.
+// Drain implements daemon.Service: it reports that the router is not ready, accepts
+// connections until the load balancer has noticed, and lets the requests in progress end.
 func (m *Manager) Drain(ctx context.Context) error {
-	left := m.options.Grace - shutdownMargin
-	ctx, cancel := context.WithTimeout(ctx, left)
+	timeLeft := m.options.Grace - shutdownMargin
+	ctx, cancel := context.WithTimeout(ctx, timeLeft)
 	defer cancel()
 	now := boottime.Now()
-	m.handler.drain.start(now, now.Add(left))
+	m.handler.drain.start(now, now.Add(timeLeft))
 	m.options.Readiness.SetDraining()
 	event.GateReadinessChanged.Log(m.options.Logger, logrus.Fields{"ready": false})
 	select {
--- a/internal/gate/metrics.go
+++ b/internal/gate/metrics.go
@@ -9,8 +9,8 @@
 	"github.com/bluebellchute/bluebellchute/internal/fleet"
 )
 
-// metrics are the gate's counters. Their labels are bounded by the routes'
-// kinds, the statuses and the reasons, never by accounts or requests.
+// metrics are the gate's metrics. Their labels are bounded by the kinds of routes, the
+// statuses and the reasons, never by accounts or requests.
 type metrics struct {
 	answers  *prometheus.CounterVec
 	refusals *prometheus.CounterVec
@@ -93,7 +93,7 @@
 	}
 }
 
-// Outcomes of prompts that would disrupt streams.
+// The outcomes of prompts that would interrupt streams in progress.
 const (
 	disruptiveMoved   = "moved"
 	disruptiveSent    = "sent"
@@ -115,7 +115,7 @@
 	}
 }
 
-// plainWait takes the wait that was expected for a request to a plain service.
+// plainWait records the expected wait of a request to a plain service.
 func (m *metrics) plainWait(service fleet.Service, wait time.Duration) {
 	m.plain.WithLabelValues(string(service)).Set(wait.Seconds())
 }
--- a/internal/gate/run.go
+++ b/internal/gate/relay.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// maxConnectFailures bounds the backend servers tried for one request whose
-	// connections could not even be opened.
+	// maxConnectFailures is the maximum number of backend servers tried for one request
+	// whose connections could not be opened.
 	maxConnectFailures = 3
-	// minTimeLeft is the time below which a request is not sent any more: its
+	// minTimeLeft is the remaining time below which a request is not sent any more: its
 	// answer could not be back in time.
 	minTimeLeft = 5 * time.Millisecond
 )
 
-// relay is one caller's request on its way through backend servers.
+// relay forwards one request to backend servers until its caller has an answer.
 type relay struct {
 	handler  *handler
 	request  *Request
@@ -32,23 +32,23 @@
 	connectFailures int  // connections that could not be opened
 	mayHaveRun      bool // the request may have run
 	stream          streamState
-	savedFailure    *bufferedAnswer // a failure of a backend server, kept while another is tried
+	savedFailure    *bufferedAnswer // a backend server's failure, kept while another server is tried
 }
 
-// sendOutcome tells how a run goes on after a send.
+// sendOutcome is the result of one attempt to send a request.
 type sendOutcome int
 
 const (
-	outcomeDone     sendOutcome = iota // the caller has its answer, or has gone
+	outcomeDone     sendOutcome = iota // the caller has its answer, or has disconnected
 	outcomeDeclined                    // the backend server did not run it
 	outcomeUnsent                      // nothing was sent
 	outcomeBroken                      // it may have run, no usable answer came
-	outcomeFailed                      // a failure of the backend server's own is saved
+	outcomeFailed                      // the backend server answered with a failure, which is saved
 )
 
-// loop sends the request until its caller has an answer. It ends: each turn
-// either answers, counts a send towards the route's bound, or counts a
-// connection towards its own.
+// loop sends the request until its caller has an answer. It terminates: each iteration
+// either answers, counts a send towards the route's limit, or counts a failed connection
+// towards maxConnectFailures.
 func (r *relay) loop(ctx context.Context) {
 	for {
 		if r.sends == 0 && r.connectFailures == 0 && !r.handler.drain.accepts(r.request, boottime.Now()) {
@@ -78,7 +78,7 @@
 	}
 }
 
-// mayRetry tells whether the request may be sent to another backend server.
+// mayRetry reports whether the request may be sent to another backend server.
 func (r *relay) mayRetry(ctx context.Context, result sendOutcome) bool {
 	switch {
 	case ctx.Err() != nil, r.request.Remaining(boottime.Now()) < minTimeLeft:
@@ -93,7 +93,7 @@
 	return true
 }
 
-// failure returns the final answer when no backend server gave one.
+// failure returns the final answer if no backend server gave one.
 func (r *relay) failure() Refusal {
 	if r.mayHaveRun {
 		return Refusal{Status: http.StatusBadGateway, Reason: ReasonBroken}
@@ -105,11 +105,11 @@
 	}
 }
 
-// finish gives the final answer at once.
+// finish gives the final answer immediately.
 func (r *relay) finish(ctx context.Context, refusal Refusal) {
 	if r.stream.started {
-		// The head of an answer has been sent. Only a connection that ends
-		// early tells the caller that the stream is not complete.
+		// The header of an answer has been sent. Only a connection that ends early tells
+		// the caller that the stream is not complete.
 		r.handler.requestLog.streamAborted(r.request, r.sends, cancelledByDrain(ctx))
 		panic(http.ErrAbortHandler)
 	}
@@ -150,8 +150,7 @@
 	}
 }
 
-// send sends the request to the backend server of its place and hands the
-// answer on.
+// send sends the request to the backend server of its placement and forwards the answer.
 func (r *relay) send(ctx context.Context, placed *placement) sendOutcome {
 	h := r.handler
 	if callerDisconnected(ctx) {
@@ -189,7 +188,7 @@
 	r.mayHaveRun = true
 	defer h.admission.release(r.request, placed, true)
 	if r.stream.started && answer.Status >= http.StatusMultipleChoices {
-		// A failure can't follow the first events of a stream.
+		// A failure status can't follow the first events of a stream.
 		r.discardRest(answer)
 		return outcomeBroken
 	}
@@ -199,10 +198,10 @@
 	return r.relayBuffered(ctx, placed, answer, reply, sent)
 }
 
-// observeReply takes what the backend server says of itself with an answer.
+// observeReply records what the backend server reports about itself with an answer.
 func (h *handler) observeReply(backend *knowledge.Backend, reply Reply) {
 	if reply.Replaced {
-		return // another server has answered, and it speaks of itself
+		return // the report is that of another server
 	}
 	h.admission.cold.markCold(backend.Incarnation, reply.ColdRemaining)
 	now := boottime.Now()
@@ -239,12 +238,13 @@
 	}
 }
 
-// errRejecting tells that the backend server has said meanwhile that it wants nothing.
-var errRejecting = errors.New("the backend server takes nothing new")
+// errRejecting is returned if the backend server has started to reject new requests
+// meanwhile.
+var errRejecting = errors.New("the backend server rejects new requests")
 
-// checkBeforeSend returns why a request is not to be sent after all. On a busy processor, or on a
-// link that loses packets, a connection takes seconds to be opened: meanwhile the caller
-// may leave, and the backend server may say that it wants nothing.
+// checkBeforeSend returns why a request must not be sent after all. On a busy processor, or
+// on a link that loses packets, it takes seconds to open a connection: meanwhile the caller
+// may disconnect, or the backend server may start to reject requests.
 func (r *relay) checkBeforeSend(ctx context.Context, backend *knowledge.Backend) error {
 	if callerDisconnected(ctx) {
 		return backendconn.ErrCallerDisconnected
@@ -258,28 +258,28 @@
 	return nil
 }
 
-// connectionShare is the part of a backend server's connections that the
-// routers use together. A backend server resets connections beyond its bound,
-// and takes fewer while its queue is long.
+// connectionShare is the fraction of a backend server's maximum connections that all
+// routers together use. A backend server resets connections beyond its maximum, and accepts
+// fewer while its queue is long.
 const connectionShare = 0.8
 
-// maxConnections returns the connections that this router may have to the
-// backend server: what the others leave, but at least its even share. Callers
-// come unevenly, so an even share alone would refuse them at one router while
-// the backend server has room.
+// maxConnections returns the number of connections that this router may have to the backend
+// server: what the others leave, but at least its even share. Callers are spread unevenly,
+// so with the even share alone one router would refuse requests while the backend server
+// has capacity.
 func (r *relay) maxConnections(backend *knowledge.Backend) int {
 	service := r.handler.state.View().Index.Service(r.request.Service)
 	if service == nil || service.MaxConnections == 0 {
 		return 0
 	}
 	peers := r.handler.admission.peers
-	most := float64(service.MaxConnections) * connectionShare
-	even := most / float64(max(peers.Routers(), 1))
-	left := most - float64(peers.Load(backend.IncarnationHash).Running)
-	return max(int(even), int(left), 1)
+	usable := float64(service.MaxConnections) * connectionShare
+	even := usable / float64(max(peers.Routers(), 1))
+	unused := usable - float64(peers.Load(backend.IncarnationHash).Running)
+	return max(int(even), int(unused), 1)
 }
 
-// ownAnswer tells whether an answer is this request's. Refusals may bear no id.
+// ownAnswer reports whether an answer belongs to this request. Refusals may have no id.
 func (r *relay) ownAnswer(header http.Header) bool {
 	id := r.handler.dialect.Reply(0, header).ID
 	return id == "" || id == r.request.ID
@@ -287,14 +287,14 @@
 
 func (r *relay) sendFailed(ctx context.Context, placed *placement, sent boottime.Instant, err error) sendOutcome {
 	h := r.handler
-	unsent := backendconn.ProgressOf(err) == backendconn.ProgressNone
-	h.admission.release(r.request, placed, !unsent)
+	notSent := backendconn.ProgressOf(err) == backendconn.ProgressNone
+	h.admission.release(r.request, placed, !notSent)
 	if errors.Is(err, backendconn.ErrCallerDisconnected) || callerCanceled(ctx) {
 		return r.callerDisconnected()
 	}
 	r.logSendFailure(ctx, placed, err)
 	h.observeConnectError(placed.backend, sent, err)
-	if unsent {
+	if notSent {
 		r.connectFailures++
 		if ctx.Err() == nil && !errors.Is(err, backendconn.ErrTooMany) && !errors.Is(err, errRejecting) {
 			h.admission.loads.recordConnectionFailure(placed.backend.Incarnation)
@@ -308,7 +308,7 @@
 	return outcomeBroken
 }
 
-// answerFailed ends an answer that could not be read to its end.
+// answerFailed handles an answer that could not be read to its end.
 func (r *relay) answerFailed(ctx context.Context, placed *placement, sent boottime.Instant, err error) sendOutcome {
 	if callerCanceled(ctx) {
 		return r.callerDisconnected()
@@ -318,15 +318,15 @@
 	return outcomeBroken
 }
 
-// logSendFailure writes that an exchange failed, unless this router has ended it.
+// logSendFailure logs that an exchange failed, unless the end of draining cancelled it.
 func (r *relay) logSendFailure(ctx context.Context, placed *placement, err error) {
 	if !cancelledByDrain(ctx) {
 		r.handler.requestLog.sendFailed(r.request, placed.backend, err)
 	}
 }
 
-// recordReset notes that the connection to a backend server broke while it had the
-// request, unless the caller or the clock ended it.
+// recordReset records that the connection to a backend server was reset while it had the
+// request, unless the context has ended.
 func (r *relay) recordReset(ctx context.Context, placed *placement, sent boottime.Instant) {
 	if ctx.Err() != nil {
 		return
--- a/internal/gate/relay_whole.go
+++ b/internal/gate/relay_buffered.go
@@ -13,12 +13,12 @@
 	"github.com/bluebellchute/bluebellchute/internal/fleet"
 )
 
-// maxBufferedAnswer is the size of an answer up to which it is read to its end before
-// it is handed on, so that one that breaks off can be replaced.
+// maxBufferedAnswer is the maximum size of an answer that is read to its end before it is
+// forwarded, so that the request can be retried if the answer breaks off.
 const maxBufferedAnswer = 1 << 20
 
-// maxDiscardedBytes is how much of an answer that nobody wants is read to keep its
-// connection.
+// maxDiscardedBytes is how much of an unwanted answer is read so that its connection can be
+// reused.
 const maxDiscardedBytes = 16 << 10
 
 // bufferedAnswer is an answer that has been read to its end.
@@ -29,7 +29,7 @@
 	body   []byte
 }
 
-// relayBuffered reads an answer to its end and hands it on.
+// relayBuffered reads an answer to its end and forwards it.
 func (r *relay) relayBuffered(ctx context.Context, placed *placement, answer *backendconn.Answer, reply Reply, sent boottime.Instant) sendOutcome {
 	var body bytes.Buffer
 	if answer.Length > 0 && answer.Length <= maxBufferedAnswer {
@@ -54,25 +54,25 @@
 	if body.Len() == maxBufferedAnswer {
 		return r.relayUnbuffered(ctx, placed, answer, reply, body.Bytes())
 	}
-	whole := &bufferedAnswer{placed: placed, status: answer.Status, header: r.callerHeader(answer, reply), body: body.Bytes()}
+	buffered := &bufferedAnswer{placed: placed, status: answer.Status, header: r.callerHeader(answer, reply), body: body.Bytes()}
 	if answer.Status >= http.StatusInternalServerError {
-		// Another backend server may do better; if not, this is the answer.
+		// Another backend server may succeed; if not, this is the answer.
 		r.handler.requestLog.failed(r.request, placed.backend, answer.Status)
-		r.savedFailure = whole
+		r.savedFailure = buffered
 		return outcomeFailed
 	}
-	r.deliver(whole)
+	r.deliver(buffered)
 	return outcomeDone
 }
 
-// late tells whether an answer that is whole now misses its route's target.
+// late reports whether an answer completed now misses its route's latency target.
 func (r *relay) late() bool {
 	target := r.request.Route.TargetLatency
 	return target > 0 && boottime.Now().Sub(r.request.Received) > target
 }
 
-// callerHeader returns the header for the caller. A status that promises that the
-// request did not run is changed by handedStatus, so it may not be signed.
+// callerHeader returns the header for the caller. The signature is removed if callerStatus
+// changes the status.
 func (r *relay) callerHeader(answer *backendconn.Answer, reply Reply) http.Header {
 	header := fleet.EndToEnd(answer.Header)
 	if promisesNotRun(answer.Status) || !reply.Signed {
@@ -81,8 +81,8 @@
 	return header
 }
 
-// promisesNotRun tells whether callers take the status for a promise that the
-// request has not run.
+// promisesNotRun reports whether callers take the status as a promise that the request has
+// not run.
 func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable,
@@ -92,9 +92,9 @@
 	return false
 }
 
-// callerStatus returns the status for the caller. When the status promises that
-// the request did not run, but the backend server did not say that it refused
-// the request, the promise could be untrue.
+// callerStatus returns the status for the caller. A status that promises that the request
+// has not run is replaced, as the backend server did not say that it refused the request
+// and the promise could be untrue.
 func callerStatus(status int) int {
 	if promisesNotRun(status) {
 		return http.StatusBadGateway
@@ -102,7 +102,7 @@
 	return status
 }
 
-// deliver hands a whole answer to the caller.
+// deliver sends a complete answer to the caller.
 func (r *relay) deliver(whole *bufferedAnswer) {
 	status := callerStatus(whole.status)
 	header := r.writer.Header()
@@ -114,8 +114,8 @@
 	r.handler.metrics.answered(status)
 }
 
-// relayUnbuffered hands on an answer that is too long to be held: what has been read
-// and then the rest.
+// relayUnbuffered forwards an answer that is too long to be buffered: first what has been
+// read, then the rest.
 func (r *relay) relayUnbuffered(ctx context.Context, placed *placement, answer *backendconn.Answer, reply Reply, read []byte) sendOutcome {
 	status := callerStatus(answer.Status)
 	header := r.writer.Header()
@@ -140,8 +140,7 @@
 	return outcomeDone
 }
 
-// discardRest reads an answer that is not handed on, so that its connection can
-// be used again.
+// discardRest reads an answer that is not forwarded, so that its connection can be reused.
 func (r *relay) discardRest(answer *backendconn.Answer) {
 	// A failure only costs the connection.
 	_, _ = io.Copy(io.Discard, io.LimitReader(answer, maxDiscardedBytes))
--- a/internal/gate/relay_stream.go
+++ b/internal/gate/relay_stream.go
@@ -15,24 +15,24 @@
 	"github.com/bluebellchute/bluebellchute/internal/fleet"
 )
 
-// streamState is what the caller has of a stream.
+// streamState is what the caller has received of a stream.
 type streamState struct {
 	started     bool
-	lastEventID string // id of the last event handed out, "" for none
+	lastEventID string // id of the last event forwarded, "" for none
 }
 
 const (
-	// streamBufferBytes is how much of a stream is read at once.
+	// streamBufferBytes is the size of the buffer into which a stream is read.
 	streamBufferBytes = 8 << 10
-	// maxEventBytes bounds one event of a stream.
+	// maxEventBytes bounds the size of one event of a stream.
 	maxEventBytes = 1 << 20
 )
 
-// errEventTooLong ends a stream whose event would not fit into memory.
+// errEventTooLong ends a stream with an event larger than maxEventBytes.
 var errEventTooLong = errors.New("an event of the stream is too long")
 
-// relayStream hands on a stream event by event. Only whole events are handed
-// on: one that breaks off can then be made again by another backend server.
+// relayStream forwards a stream event by event. It forwards complete events only, so that
+// another backend server can repeat an event that breaks off.
 func (r *relay) relayStream(ctx context.Context, placed *placement, answer *backendconn.Answer, reply Reply, sent boottime.Instant) sendOutcome {
 	h := r.handler
 	if !reply.genuine(r.request) {
@@ -72,7 +72,7 @@
 	}
 }
 
-// forwardEvents writes the whole events of the partial data and keeps the rest. It
+// forwardEvents writes the complete events of the partial data and keeps the rest. It
 // returns false when the caller can't be reached.
 func (r *relay) forwardEvents(answer *backendconn.Answer, partial *[]byte) bool {
 	end := completeEventsLen(*partial)
@@ -94,8 +94,8 @@
 	return true
 }
 
-// startStream writes the head of the answer, once: a stream that goes on at
-// another backend server keeps its first head.
+// startStream writes the header of the answer, once: a stream that is resumed at another
+// backend server keeps its first header.
 func (r *relay) startStream(answer *backendconn.Answer) {
 	if r.stream.started {
 		return
@@ -105,11 +105,11 @@
 	r.handler.writeHead(r.writer, answer.Status)
 }
 
-// finishStream ends a stream that its backend server has ended whole.
+// finishStream ends a stream that its backend server has completed.
 func (r *relay) finishStream(placed *placement, answer *backendconn.Answer, rest []byte, late bool) sendOutcome {
 	r.startStream(answer)
 	if len(rest) > 0 {
-		// Bytes after the last event belong to the body as well.
+		// Bytes after the last event belong to the body too.
 		if _, err := r.writer.Write(rest); err != nil {
 			return r.callerDisconnected()
 		}
@@ -120,8 +120,9 @@
 	return outcomeDone
 }
 
-// callerDisconnected ends a request whose caller has left. The connection ends with it: the server
-// would make a success of a request that returns without an answer.
+// callerDisconnected ends a request whose caller has disconnected. It aborts the
+// connection, since net/http would send a success for a request that returns without an
+// answer.
 func (r *relay) callerDisconnected() sendOutcome {
 	r.handler.requestLog.callerDisconnected(r.request)
 	panic(http.ErrAbortHandler)
@@ -130,7 +131,7 @@
 // eventSeparator ends an event.
 var eventSeparator = []byte("\n\n")
 
-// completeEventsLen returns the length of the whole events at the start of data.
+// completeEventsLen returns the length of the complete events at the start of data.
 func completeEventsLen(data []byte) int {
 	at := bytes.LastIndex(data, eventSeparator)
 	if at < 0 {
--- a/internal/gate/records.go
+++ b/internal/gate/request_log.go
@@ -17,21 +17,21 @@
 )
 
 const (
-	// failuresPerSecond and failuresBurst bound the records of requests that
-	// did not go well, as they cost small VMs a good part of their processor.
+	// failuresPerSecond and failuresBurst bound the log entries on requests that failed, as
+	// entries cost small VMs much of their processor time.
 	failuresPerSecond = 20
 	failuresBurst     = 100
-	// answersPerSecond and answersBurst bound the records of requests that
-	// went well, which are a sample.
+	// answersPerSecond and answersBurst bound the log entries on requests that succeeded,
+	// which are a sample.
 	answersPerSecond = 2
 	answersBurst     = 10
-	// droppedInterval is the pause between two records of what was left out.
+	// droppedInterval is the interval at which the number of dropped entries is logged.
 	droppedInterval = 5 * time.Second
-	// tallyInterval is the pause between two records of counts.
+	// tallyInterval is the interval at which request counts are logged.
 	tallyInterval = time.Second
 )
 
-// requestLog writes what was decided on requests, within bounds.
+// requestLog logs the decisions on requests, at a bounded rate.
 type requestLog struct {
 	logger       logrus.FieldLogger
 	state        *knowledge.State
@@ -39,7 +39,7 @@
 	answerLimit  *rate.Limiter
 	dropped      atomic.Int64
 	tally        *requestCounts
-	// inputs returns what the decisions of the moment rest on.
+	// inputs returns the current inputs of placement decisions.
 	inputs func() logrus.Fields
 }
 
@@ -54,7 +54,8 @@
 	}
 }
 
-// Run writes from time to time how many records were left out.
+// Run periodically logs the request counts and the number of dropped entries until the
+// context ends.
 func (r *requestLog) Run(ctx context.Context) error {
 	ticker := time.NewTicker(droppedInterval)
 	defer ticker.Stop()
@@ -74,7 +75,7 @@
 	}
 }
 
-// allows tells whether a record is written, and counts it when it is left out.
+// allows reports whether an entry may be written, and counts it as dropped if not.
 func (r *requestLog) allows(limiter *rate.Limiter) bool {
 	if limiter.Allow() {
 		return true
@@ -83,14 +84,14 @@
 	return false
 }
 
-// write writes a record that the limiter allows.
+// write writes an entry if the limiter allows it.
 func (r *requestLog) write(limiter *rate.Limiter, which event.Event, request *Request, fields logrus.Fields) {
 	if r.allows(limiter) {
 		r.writeFields(which, request, fields)
 	}
 }
 
-// writeFields writes a record.
+// writeFields writes an entry.
 func (r *requestLog) writeFields(which event.Event, request *Request, fields logrus.Fields) {
 	if request != nil {
 		fields["request"] = request.ID
@@ -112,7 +113,7 @@
 func (r *requestLog) refused(request *Request, refusal Refusal) {
 	r.tally.addRefusal(request, refusal.Reason)
 	if !r.allows(r.failureLimit) {
-		return // a flood of refusals builds no records that are then left out
+		return // avoids building entries that are dropped in a flood of refusals
 	}
 	fields := logrus.Fields{
 		"reason":         refusal.Reason,
@@ -123,7 +124,7 @@
 	r.writeFields(event.GateRefused, request, fields)
 }
 
-// addInputs adds what decided on the place of a request.
+// addInputs adds the inputs of a request's placement.
 func addInputs(fields logrus.Fields, inputs Inputs) {
 	if inputs.Tier != policy.TierOwed {
 		fields["tier"] = inputs.Tier
@@ -158,12 +159,14 @@
 	})
 }
 
-// backendDraining writes that a backend server has said for the first time that it leaves.
+// backendDraining logs that a backend server has reported for the first time that it
+// drains.
 func (r *requestLog) backendDraining(backend *knowledge.Backend) {
 	event.GateBackendDraining.Log(r.logger, logrus.Fields{"backend": backend.ID})
 }
 
-// backendRejecting writes that a backend server that was open wants nothing for the time.
+// backendRejecting logs that a backend server has started to reject new requests, and for
+// how long.
 func (r *requestLog) backendRejecting(backend *knowledge.Backend, lasts time.Duration) {
 	event.GateBackendUnavailable.Log(r.logger, logrus.Fields{"backend": backend.ID, "for_ms": lasts.Milliseconds()})
 }
@@ -172,7 +175,7 @@
 	r.write(r.failureLimit, event.GateSendFailed, request, logrus.Fields{"backend": backend.ID, "error": err.Error()})
 }
 
-// resetsJudged writes what broken connections at a backend server were found to mean.
+// resetsJudged logs the verdict on reset connections at a backend server.
 func (r *requestLog) resetsJudged(judged judgedResets) {
 	r.write(r.failureLimit, event.GateDisconnectsClassified, nil, logrus.Fields{
 		"incarnation": judged.incarnation,
@@ -189,7 +192,8 @@
 	r.write(r.failureLimit, event.GateBackendFailed, request, logrus.Fields{"backend": backend.ID, "status": status})
 }
 
-// streamAborted writes that a stream ends early, by the backend server or the end of draining.
+// streamAborted logs that a stream ends early, because of the backend server or the end of
+// draining.
 func (r *requestLog) streamAborted(request *Request, sends int, drained bool) {
 	r.tally.addAnswer(request, false, false)
 	r.write(r.failureLimit, event.GateStreamAborted, request, logrus.Fields{"sends": sends, "drained": drained})
@@ -200,8 +204,8 @@
 	r.write(r.answerLimit, event.GateCallerDisconnected, request, logrus.Fields{})
 }
 
-// acceptedDraining writes that a request is taken so long after the signal to stop, on a
-// connection that is nil if unknown.
+// acceptedDraining logs a request that is accepted after the listener was closed, with the
+// time since the stop signal. conn is nil if unknown.
 func (r *requestLog) acceptedDraining(request *Request, since time.Duration, conn *callerConn) {
 	if !r.allows(r.failureLimit) {
 		return
@@ -215,7 +219,7 @@
 	r.writeFields(event.GateAdmittedWhileDraining, request, fields)
 }
 
-// endedDraining writes that so many requests were ended as they were in progress at the end.
+// endedDraining logs how many requests were still in progress when draining ended.
 func (r *requestLog) endedDraining(count int) {
 	event.GateAbortedByDrain.Log(r.logger, logrus.Fields{"count": count})
 }
--- a/internal/gate/await.go
+++ b/internal/gate/startup.go
@@ -9,18 +9,21 @@
 )
 
 const (
-	// startupPeriod is how long after its start a router may still have to learn what it needs.
+	// startupPeriod is the time after the start of a router in which requests wait for the
+	// first fleet state.
 	startupPeriod = time.Second
 	// startupWait is how long a request waits at a router that has just started for the
-	// first answers of the store or of other routers. A refusal would cost the caller one
-	// of few tries and bring it back later than that.
+	// first answers of the store or of other routers. A refusal would use up one of the
+	// caller's few attempts, and the retry would come later than that.
 	startupWait = startRetryAfter
-	// startupPollInterval is the pause between two looks at what is known.
+	// startupPollInterval is the interval at which a waiting request checks the fleet
+	// state.
 	startupPollInterval = 5 * time.Millisecond
 )
 
-// awaitFleetState returns what is known once it is enough to serve requests, or what there
-// is when the request has waited for long enough or its caller has left.
+// awaitFleetState returns the fleet state as soon as it suffices to serve requests, or the
+// incomplete one when the request has waited for startupWait or its caller has
+// disconnected.
 func (h *handler) awaitFleetState(ctx context.Context, received boottime.Instant) *knowledge.View {
 	for {
 		view := h.state.View()
--- a/internal/gate/status.go
+++ b/internal/gate/status.go
@@ -11,7 +11,7 @@
 	"github.com/bluebellchute/bluebellchute/internal/fleet"
 )
 
-// ServeReadiness answers the balancer until the context ends.
+// ServeReadiness answers the load balancer's readiness checks until the context ends.
 func ServeReadiness(ctx context.Context, address fleet.Address, path string, readiness *daemon.Readiness) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc(path, func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/gate/suspects.go
+++ b/internal/gate/suspects.go
@@ -11,19 +11,18 @@
 )
 
 const (
-	// maxCrashes is how many backend servers a request may break before it is
-	// refused. A request that was merely beside one that breaks them rarely
-	// meets a second break.
+	// maxCrashes is how many backend servers a request may crash before it is refused. A
+	// request that was merely running beside one that crashes them rarely meets a second
+	// crash.
 	maxCrashes = 2
-	// suspectTTL is how long a break is remembered.
+	// suspectTTL is how long a crash is remembered.
 	suspectTTL = 60 * time.Second
-	// maxSuspects bounds the table. A crash of a backend server adds all
-	// requests that it ran.
+	// maxSuspects bounds the table. A crash of a backend server adds all requests that it
+	// was running.
 	maxSuspects = 4096
 )
 
-// fingerprint returns a value that is the same when a caller sends a request
-// again.
+// fingerprint returns a hash that is the same when a caller retries a request.
 func fingerprint(request *Request) uint64 {
 	digest := xxhash.New()
 	if request.Account != nil {
@@ -34,60 +33,60 @@
 	return digest.Sum64()
 }
 
-// suspect is a request during which backend servers broke.
+// suspect is a request that was running when backend servers crashed.
 type suspect struct {
-	own    int                    // crashes of backend servers seen here
-	others map[fleet.Address]bool // routers that have seen a crash
+	own    int                    // crashes seen by this router
+	others map[fleet.Address]bool // other routers that have seen a crash
 	last   boottime.Instant
 }
 
-// suspects remembers which requests were running when a backend server broke.
-// Without it a request that crashes each backend server that runs it is sent
-// again by its caller until none is left. A broken connection counts once
-// breakWatch has found that its server went down.
+// suspects remembers which requests were running when a backend server crashed. Without it,
+// a request that crashes each backend server that runs it would be retried by its caller
+// until none is left. A reset connection counts once crashDetector has found that its
+// server went down.
 type suspects struct {
 	mu         sync.Mutex
 	known      map[uint64]*suspect
-	unreported []uint64 // broken here since the last call of takeFresh
+	unreported []uint64 // crashes seen here since the last call of takeUnreported
 }
 
 func newSuspects() *suspects { return &suspects{known: make(map[uint64]*suspect)} }
 
-// crashed notes that a backend server went down while it ran the request.
-func (s *suspects) crashed(print uint64) {
+// crashed records that a backend server went down while it was running the request.
+func (s *suspects) crashed(fingerprint uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.add(print).own++
-	s.unreported = append(s.unreported, print)
+	s.add(fingerprint).own++
+	s.unreported = append(s.unreported, fingerprint)
 }
 
-// crashReported notes that it did so at another router. Beats repeat what they tell, so
-// each router counts once.
-func (s *suspects) crashReported(router fleet.Address, print uint64) {
+// crashReported records that another router has seen a crash by the request. Heartbeats
+// repeat their content, so each router counts once.
+func (s *suspects) crashReported(router fleet.Address, fingerprint uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.add(print).others[router] = true
+	s.add(fingerprint).others[router] = true
 }
 
-func (s *suspects) add(print uint64) *suspect {
+func (s *suspects) add(fingerprint uint64) *suspect {
 	now := boottime.Now()
 	if len(s.known) >= maxSuspects {
 		s.prune(now)
 	}
-	known := s.known[print]
+	known := s.known[fingerprint]
 	if known == nil {
 		known = &suspect{others: make(map[fleet.Address]bool)}
-		s.known[print] = known
+		s.known[fingerprint] = known
 	}
 	known.last = now
 	return known
 }
 
-// prune forgets what is old, and everything when that is not enough.
+// prune removes expired entries, and all entries if that is not enough.
 func (s *suspects) prune(now boottime.Instant) {
-	for print, known := range s.known {
+	for fingerprint, known := range s.known {
 		if now.Sub(known.last) > suspectTTL {
-			delete(s.known, print)
+			delete(s.known, fingerprint)
 		}
 	}
 	if len(s.known) >= maxSuspects {
@@ -95,10 +94,10 @@
 	}
 }
 
-// refused tells whether the request has broken too many backend servers.
-func (s *suspects) refused(print uint64) bool { return s.count(print) >= maxCrashes }
+// refused reports whether the request has crashed too many backend servers.
+func (s *suspects) refused(fingerprint uint64) bool { return s.count(fingerprint) >= maxCrashes }
 
-// count returns how many backend servers the request has broken.
+// count returns how many backend servers the request has crashed.
 func (s *suspects) count(print uint64) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,11 +108,11 @@
 	return known.own + len(known.others)
 }
 
-// takeUnreported returns what broke here since the last call.
+// takeUnreported returns the requests whose crashes were seen here since the last call.
 func (s *suspects) takeUnreported() []uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	fresh := s.unreported
+	unreported := s.unreported
 	s.unreported = nil
-	return fresh
+	return unreported
 }
