--- a/internal/selection/doc.go
+++ b/internal/selection/doc.go
@@ -1,3 +1,3 @@
-// Package selection chooses the backend server for a request. It is pure: all
-// that it knows is handed to it.
+// Package selection chooses the backend server for a request. Its functions depend on
+// nothing but their arguments.
 package selection
--- a/internal/selection/model.go
+++ b/internal/selection/model.go
@@ -4,115 +4,114 @@
 
 // Engine is a model engine as a candidate for one request.
 type Engine struct {
-	Running int     // requests at it, of all routers
-	Slots   int     // requests that it runs at once, 0 if unknown
-	Pending float64 // prompt tokens sent to it whose first event has not come
-	Memory  float64 // tokens that its requests hold or will hold
-	// MemoryCapacity is how many tokens it holds, 0 if unknown.
+	Running int     // requests at it from all routers
+	Slots   int     // requests that it runs concurrently, 0 if unknown
+	Pending float64 // prompt tokens sent to it that await their first event
+	Memory  float64 // tokens that its requests occupy or will occupy
+	// MemoryCapacity is the number of tokens that fit into its memory, 0 if unknown.
 	MemoryCapacity float64
-	// CachesShared tells that it is known to keep the shared parts.
+	// CachesShared reports whether it is known to cache the shared segments.
 	CachesShared bool
-	// Rate is how many prompt tokens it reads in a second beside the tokens that it
-	// generates, 0 for Limits.Rate.
+	// Rate is how many prompt tokens it reads per second while it generates tokens, 0 for
+	// Limits.Rate.
 	Rate float64
-	// Slowdown is how long work takes there at the moment, in parts of the usual time;
-	// 0 if unknown.
+	// Slowdown is the ratio of its current to its usual work time, 0 if unknown.
 	Slowdown float64
 }
 
-// Demand is what one request asks of an engine.
+// Demand is what a request needs of an engine.
 type Demand struct {
-	SharedTokens   float64       // tokens of the parts that other requests share
-	OwnTokens      float64       // tokens of the parts that it does not share
+	SharedTokens   float64       // tokens of segments that other requests share
+	OwnTokens      float64       // tokens of segments that only this request has
 	OutputTokens   float64       // tokens that it is expected to generate
-	Budget         time.Duration // for the prompts ahead of this one
+	Budget         time.Duration // time to read the prompts ahead
 	CountOwnPrompt bool          // whether its own prompt counts in the budget
 }
 
 // Limits bound what is sent to an engine.
 type Limits struct {
-	// Rate is how many prompt tokens an engine reads in a second beside the
-	// tokens that it generates, unless it has a rate of its own.
+	// Rate is how many prompt tokens an engine reads per second while it generates
+	// tokens, unless the engine has a rate of its own.
 	Rate float64
-	// SlotShare is the part of the slots that is used. More requests at once
-	// slow the tokens of all.
+	// SlotShare is the fraction of the slots that is used. More concurrent requests slow
+	// the tokens of all.
 	SlotShare float64
-	// MemoryShare is the part of the memory that requests may fill. When it
-	// runs out, an engine drops a running request and reads it again.
+	// MemoryShare is the fraction of the memory that requests may fill. An engine that
+	// runs out of memory drops a running request and reads it again.
 	MemoryShare float64
-	// SecondPenalty is what the shared parts count at an engine that the key
-	// does not prefer, in parts of reading them.
+	// SecondPenalty is the cost of the shared segments at an engine that the key does not
+	// prefer, as a multiple of reading them.
 	//
-	// It is more than 1: the parts take room at both engines then, and a fetch
-	// finds nothing while the first one still reads them. Results hardly differ
-	// between 1 and 2.
+	// It is more than 1 because the segments then take memory at both engines, and
+	// fetching finds nothing while the first engine is still reading them. Results hardly
+	// differ between 1 and 2.
 	SecondPenalty float64
-	// Gap bounds how long an engine may read prompts while it streams to others; 0 for
-	// no bound. See disrupts.
+	// Gap is the longest time for which an engine may read prompts while it streams to
+	// others, 0 for no bound. See disrupts.
 	Gap time.Duration
-	// Fallbacks is how many engines may take the request although it disrupts streams
+	// Fallbacks is how many engines may take the request even if it disrupts streams
 	// there.
 	Fallbacks int
 }
 
 // Choice is an engine chosen for a request.
 type Choice struct {
-	Place         int           // of the engine among the candidates
+	Place         int           // position of the engine among the candidates
 	PromptTokens  float64       // prompt tokens that the engine is expected to read
-	PendingTokens float64       // prompt tokens that wait there already
-	Ahead         time.Duration // expected until the prompts ahead are read
-	Wait          time.Duration // expected until the first event
+	PendingTokens float64       // prompt tokens already waiting there
+	Ahead         time.Duration // expected time to read the prompts ahead
+	Wait          time.Duration // expected time to the first event
 	Fits          bool          // within all limits
-	// SlotsUsed is the part of the engine's slots that are taken, 0 if unknown.
+	// SlotsUsed is the fraction of the engine's slots in use, 0 if unknown.
 	SlotsUsed float64
-	// Prefill is the expected time to read the prompts ahead and this one at the
-	// engine's speed of the moment.
+	// Prefill is the expected time to read the prompts ahead and this one at the engine's
+	// current speed.
 	Prefill time.Duration
-	// Disrupts tells that streams in progress there would pause for too long.
+	// Disrupts reports whether streams in progress there would stall for too long.
 	Disrupts bool
-	// Moved tells that a home had room, but streams that would have been disrupted.
+	// Moved reports whether a preferred engine had room but was avoided because of its
+	// streams.
 	Moved bool
 }
 
-// PreferredEngines is how many engines of a key's order share its prompt parts. More would
-// each read them anew.
+// PreferredEngines is how many engines in a key's order share its prompt segments. Each
+// further engine would have to read them again.
 const PreferredEngines = 2
 
-// ChooseEngine chooses an engine for the demand among so many candidates in the order
-// of its key; engine returns one by its place. It is the one that the key
-// prefers, or the next one when the first is so much busier that reading the
-// shared parts there again is quicker. There must be a candidate.
+// ChooseEngine chooses an engine for the demand among the candidates, of which there must
+// be at least one. engine returns the candidate at a position in the key's order of
+// preference. It chooses the first one, or the second if the first is so much busier that
+// reading the shared segments again at the second is faster.
 //
-// The further ones are looked at only when the request fits at neither, or would
-// disrupt streams at both. The first that it fits at without disrupting any is
-// taken: all routers fall back on the same engines for a key, so its parts are read
-// at few of them. Where there is none, the first of the fallbacks is taken that it
-// fits at.
+// Further candidates are considered only if the request fits at neither, or disrupts
+// streams at both. The first one is chosen at which it fits and disrupts no stream: all
+// routers fall back to the same engines for a key, so few engines read its segments. If
+// there is none, the first fallback is chosen at which the request fits.
 func ChooseEngine(candidates int, engine func(place int) Engine, demand Demand, limits Limits) Choice {
 	var best Choice
 	for place := range min(candidates, PreferredEngines) {
 		choice := evaluate(engine(place), demand, limits, place)
-		if place == 0 || better(choice, best) {
+		if place == 0 || preferable(choice, best) {
 			best = choice
 		}
 	}
-	disruptsHome := best.Fits && best.Disrupts
+	preferredDisrupted := best.Fits && best.Disrupts
 	for place := PreferredEngines; place < candidates && !best.FitsUndisrupted(); place++ {
 		choice := evaluate(engine(place), demand, limits, place)
 		if choice.FitsUndisrupted() || (choice.Fits && !best.Fits && place < limits.Fallbacks) {
 			best = choice
 		}
 	}
-	best.Moved = disruptsHome && !best.Disrupts
+	best.Moved = preferredDisrupted && !best.Disrupts
 	return best
 }
 
-// FitsUndisrupted tells whether there is no reason to look at further engines.
+// FitsUndisrupted reports whether no further engine needs to be considered.
 func (c Choice) FitsUndisrupted() bool { return c.Fits && !c.Disrupts }
 
-// better prefers an engine within its limits, then one without streams to disrupt,
+// preferable prefers an engine within its limits, then one without disrupted streams,
 // then the shorter wait.
-func better(a, b Choice) bool {
+func preferable(a, b Choice) bool {
 	if a.Fits != b.Fits {
 		return a.Fits
 	}
@@ -122,8 +121,7 @@
 	return a.Wait < b.Wait
 }
 
-// evaluate tells what the demand finds at the engine that has the place in the
-// order of its key.
+// evaluate returns the choice of the engine at this position in the key's order.
 func evaluate(engine Engine, demand Demand, limits Limits, place int) Choice {
 	tokens := demand.OwnTokens
 	if place > 0 && !engine.CachesShared {
@@ -138,24 +136,23 @@
 	}
 	choice.Prefill = time.Duration(float64(choice.Wait) * max(engine.Slowdown, 1))
 	choice.Disrupts = disrupts(engine, choice.Prefill, limits)
-	// Elsewhere the request's own length does not count: with it, long prompts
-	// would be refused whenever anything else waits.
+	// By default, a request's own length does not count. Otherwise long prompts would be
+	// refused whenever anything else waits.
 	counted := ahead
 	if demand.CountOwnPrompt {
 		counted += own
 	}
 	choice.Fits = counted <= demand.Budget &&
-		slotFree(engine, limits) &&
-		memoryFree(engine, demand, limits)
-	// An idle engine takes any request: refusing it would leave capacity
-	// unused.
+		hasFreeSlot(engine, limits) &&
+		hasFreeMemory(engine, demand, limits)
+	// An idle engine takes any request, since refusing it would leave capacity unused.
 	if engine.Running == 0 {
 		choice.Fits = true
 	}
 	return choice
 }
 
-// rate returns the prompt tokens that the engine reads in a second.
+// rate returns how many prompt tokens the engine reads per second.
 func (e Engine) rate(limits Limits) float64 {
 	if e.Rate > 0 {
 		return e.Rate
@@ -163,24 +160,24 @@
 	return limits.Rate
 }
 
-// ReadingTime returns how long an engine reads the prompt tokens that reads so many in a
-// second, at least one.
+// ReadingTime returns how long an engine takes to read the prompt tokens at the rate in
+// tokens per second, which counts as at least 1.
 func ReadingTime(tokens, rate float64) time.Duration {
 	return time.Duration(tokens / max(rate, 1) * float64(time.Second))
 }
 
-// disrupts tells whether streams at the engine would pause for too long while it reads
-// for so long. An engine reads a piece of a prompt in each step in which it makes a
-// token of every stream, so that streams stall for as long as it has prompts to read.
+// disrupts reports whether streams at the engine would stall for too long during the
+// reading time. An engine reads a piece of a prompt in each step in which it generates a
+// token of every stream, so streams stall for as long as it has prompts to read.
 func disrupts(engine Engine, prefill time.Duration, limits Limits) bool {
 	return limits.Gap > 0 && engine.Running > 0 && prefill > limits.Gap
 }
 
-func slotFree(engine Engine, limits Limits) bool {
+func hasFreeSlot(engine Engine, limits Limits) bool {
 	return engine.Slots == 0 || float64(engine.Running+1) <= float64(engine.Slots)*limits.SlotShare
 }
 
-func memoryFree(engine Engine, demand Demand, limits Limits) bool {
+func hasFreeMemory(engine Engine, demand Demand, limits Limits) bool {
 	if engine.MemoryCapacity == 0 {
 		return true
 	}
--- a/internal/selection/plain.go
+++ b/internal/selection/plain.go
@@ -2,19 +2,19 @@
 
 // Server is a plain backend server as a candidate for one request.
 type Server struct {
-	Running  int     // requests at it, of all routers
-	Slots    int     // requests that it works on at once, 0 if unknown
-	SameZone bool    // in the router's availability zone
-	Latency  float64 // recent time of an answer in seconds, 0 if unknown
+	Running  int     // requests at it from all routers
+	Slots    int     // requests that it processes concurrently, 0 if unknown
+	SameZone bool    // it is in the router's availability zone
+	Latency  float64 // recent answer time in seconds, 0 if unknown
 }
 
-// farPenalty is what another availability zone counts, in parts of a slot.
-// It only decides between servers that are equally busy.
-const farPenalty = 0.2
+// otherZonePenalty is the cost of another availability zone, in requests. It only decides
+// between servers that are equally busy.
+const otherZonePenalty = 0.2
 
-// ChooseServer returns the index of the server with the shortest expected wait, or -1
-// for an empty list. offset rotates the list, so that routers that know the
-// same don't all choose the first of equal servers.
+// ChooseServer returns the index of the server with the shortest expected wait, or -1 for
+// an empty list. offset rotates the list, so that routers with the same information don't
+// all choose the first of equal servers.
 func ChooseServer(servers []Server, offset int) int {
 	best := -1
 	var bestCost float64
@@ -28,18 +28,18 @@
 	return best
 }
 
-// unknownLatency stands for the latency of a server that has not answered yet.
-const unknownLatency = 0.01
+// assumedLatency is the latency of a server that has not answered yet.
+const assumedLatency = 0.01
 
 func plainCost(server Server) float64 {
 	occupied := float64(server.Running)
 	if !server.SameZone {
-		occupied += farPenalty
+		occupied += otherZonePenalty
 	}
 	slots := max(float64(server.Slots), 1)
 	latency := server.Latency
 	if latency == 0 {
-		latency = unknownLatency
+		latency = assumedLatency
 	}
 	return (1 + occupied) / slots * latency
 }
--- a/internal/selection/rendezvous.go
+++ b/internal/selection/rendezvous.go
@@ -6,31 +6,29 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Weight returns the rendezvous weight of a backend server, by the hash of its
-// id, for a key. All
-// routers compute the same weights, so without talking to each other they send
-// requests that share a prompt part to the same backend server, which reads
-// the part once. When a backend server comes or goes, only the keys that it
-// wins or had won move.
+// Weight returns the rendezvous weight of a backend server for a key, given the hash of
+// the server's id. All routers compute the same weights, so without coordination they
+// send requests with a common prompt segment to the same backend server, which reads the
+// segment once. When a backend server joins or leaves, only the keys that it has or had
+// move.
 func Weight(key, backend uint64) uint64 { return mix(key ^ backend) }
 
-// Hash returns the hash of a key, or of a backend server's id, for Weight.
+// Hash returns the hash of a key or of a backend server's id for Weight.
 func Hash(text string) uint64 { return xxhash.Sum64String(text) }
 
-// Rank returns the positions in the list of the engines that the key prefers
-// most, the first one first: so many, or fewer when the list is shorter. hash
-// returns the hash of an engine's id.
-func Rank[Backend any](list []Backend, hash func(Backend) uint64, key uint64, most int) []int {
-	most = min(most, len(list))
-	ranked := make([]int, 0, most)
-	weights := make([]uint64, 0, most)
+// Rank returns the indices of the engines that the key prefers most, in order of
+// preference, at most count of them. hash returns the hash of an engine's id.
+func Rank[Backend any](list []Backend, hash func(Backend) uint64, key uint64, count int) []int {
+	count = min(count, len(list))
+	ranked := make([]int, 0, count)
+	weights := make([]uint64, 0, count)
 	for i, backend := range list {
 		weight := Weight(key, hash(backend))
 		switch {
-		case len(ranked) < most:
+		case len(ranked) < count:
 			ranked, weights = append(ranked, i), append(weights, weight)
-		case most > 0 && weight > weights[most-1]:
-			ranked[most-1], weights[most-1] = i, weight
+		case count > 0 && weight > weights[count-1]:
+			ranked[count-1], weights[count-1] = i, weight
 		default:
 			continue
 		}
@@ -42,26 +40,26 @@
 	return ranked
 }
 
-// RankWeighted is like Rank for engines that are to be preferred by so many keys in
-// proportion to their weights, which must be above 0: an engine of twice the weight
-// comes first for twice the keys. When a weight changes, only keys that the engine wins
-// or loses by it move. weights are in the order of the list.
-func RankWeighted[Backend any](list []Backend, hash func(Backend) uint64, weights []float64, key uint64, most int) []int {
-	most = min(most, len(list))
-	ranked := make([]int, 0, most)
-	costs := make([]float64, 0, most)
+// RankWeighted is like Rank, but each engine is preferred by a number of keys in
+// proportion to its weight: an engine of twice the weight comes first for twice as many
+// keys. When a weight changes, only keys move that the engine gains or loses by it.
+// weights are in the order of the list and must be positive.
+func RankWeighted[Backend any](list []Backend, hash func(Backend) uint64, weights []float64, key uint64, count int) []int {
+	count = min(count, len(list))
+	ranked := make([]int, 0, count)
+	costs := make([]float64, 0, count)
 	for i, backend := range list {
 		point := unitPoint(Weight(key, hash(backend)))
-		// -ln(p) is never below 1-p, which spares the logarithm for nearly all engines.
-		if most > 0 && len(ranked) == most && 1-point >= costs[most-1]*weights[i] {
+		// -ln(p) is at least 1-p, which avoids the logarithm for nearly all engines.
+		if count > 0 && len(ranked) == count && 1-point >= costs[count-1]*weights[i] {
 			continue
 		}
 		cost := -math.Log(point) / weights[i]
 		switch {
-		case len(ranked) < most:
+		case len(ranked) < count:
 			ranked, costs = append(ranked, i), append(costs, cost)
-		case most > 0 && cost < costs[most-1]:
-			ranked[most-1], costs[most-1] = i, cost
+		case count > 0 && cost < costs[count-1]:
+			ranked[count-1], costs[count-1] = i, cost
 		default:
 			continue
 		}
@@ -73,14 +71,14 @@
 	return ranked
 }
 
-// unitPoint maps a hash to a point between 0 and 1, both excluded.
+// unitPoint maps a hash to a number in the open interval (0, 1).
 func unitPoint(hash uint64) float64 {
-	const bits = 53 // of a float's mantissa
+	const bits = 53 // mantissa bits of a float64
 	return (float64(hash>>(64-bits)) + 0.5) / (1 << bits)
 }
 
-// mix spreads the bits of a value (the finalizer of SplitMix64). Without it
-// the weights of two keys would order the backend servers alike.
+// mix spreads the bits of a value (the finalizer of SplitMix64). Without it, the weights
+// of two keys would order the backend servers alike.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/internal/selection/selection_test.go
+++ b/internal/selection/selection_test.go
@@ -20,7 +20,7 @@
 	return list
 }
 
-// hashes returns the hashes of so many engines' ids.
+// hashes returns the hashes of the ids of n engines.
 func hashes(n int) []uint64 {
 	list := make([]uint64, n)
 	for i := range list {
@@ -36,9 +36,8 @@
 
 func same(hash uint64) uint64 { return hash }
 
-// Symptom: the longest prompts of a kind are never served.
-// Events: something always waits at every engine.
-// Cause: a prompt's own length counted against the bound of what waits.
+// Guards against the longest prompts never being served: if a prompt's own length counted
+// in the budget for the wait, it would fit nowhere while anything waits at every engine.
 func TestLongPromptIsNotRefusedForItsLength(t *testing.T) {
 	list := engines(2)
 	for i := range list {
@@ -46,7 +45,7 @@
 	}
 	demand := Demand{OwnTokens: 50_000, Budget: 400 * time.Millisecond}
 	if choice := model(list, demand, limits); !choice.Fits {
-		t.Errorf("it is refused: %+v", choice)
+		t.Errorf("a long prompt is refused: %+v", choice)
 	}
 }
 
@@ -56,7 +55,7 @@
 		list[i].Running, list[i].Pending = 5, 30_000
 	}
 	if choice := model(list, Demand{OwnTokens: 100, Budget: 400 * time.Millisecond}, limits); choice.Fits {
-		t.Error("0.6 s of prompts are ahead, 0.4 s are allowed")
+		t.Error("chosen with 0.6 s of prompts ahead, 0.4 s are allowed")
 	}
 }
 
@@ -75,8 +74,8 @@
 	}
 }
 
-// An idle engine never refuses, whatever the request: capacity would stand
-// idle while work waits.
+// An idle engine never refuses a request, since capacity would be unused while work
+// waits.
 func TestIdleEngineTakesAnything(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		demand := Demand{
@@ -91,7 +90,7 @@
 	})
 }
 
-// When an engine goes, only the keys that it had move.
+// When an engine leaves, only its keys move.
 func TestFewKeysMoveWhenAnEngineGoes(t *testing.T) {
 	list := hashes(10)
 	for key := range uint64(2000) {
@@ -116,33 +115,33 @@
 	}
 }
 
-func TestAffinityYieldsToWork(t *testing.T) {
+func TestAffinityYieldsToShorterWait(t *testing.T) {
 	list := engines(2)
 	demand := Demand{SharedTokens: 5_000, OwnTokens: 1_000, Budget: time.Second}
 	if choice := model(list, demand, limits); choice.Place != 0 {
-		t.Fatalf("place %d among idle engines", choice.Place)
+		t.Fatalf("position %d among idle engines", choice.Place)
 	}
 	list[0].Running, list[0].Pending = 3, 4_000
 	if choice := model(list, demand, limits); choice.Place != 0 {
-		t.Error("reading 5,000 shared tokens again is dearer than waiting for 4,000")
+		t.Error("reading 5,000 shared tokens again takes longer than waiting for 4,000")
 	}
 	list[0].Pending = 8_000
 	if choice := model(list, demand, limits); choice.Place == 0 {
-		t.Error("waiting for 8,000 tokens is dearer than reading 5,000 again")
+		t.Error("waiting for 8,000 tokens takes longer than reading 5,000 again")
 	}
 }
 
-func TestPlainPrefersTheLeastOccupied(t *testing.T) {
+func TestLeastOccupiedServerIsPreferred(t *testing.T) {
 	servers := []Server{{Running: 3, Slots: 6, SameZone: true}, {Running: 1, Slots: 6}, {Running: 2, Slots: 6, SameZone: true}}
 	if got := ChooseServer(servers, 0); got != 1 {
 		t.Errorf("server %d", got)
 	}
 	if got := ChooseServer(nil, 0); got != -1 {
-		t.Errorf("server %d of none", got)
+		t.Errorf("server %d of an empty list", got)
 	}
 }
 
-func TestPlainPrefersItsZoneAmongEquals(t *testing.T) {
+func TestOwnZoneIsPreferredAmongEquals(t *testing.T) {
 	servers := []Server{{Slots: 6}, {Slots: 6, SameZone: true}, {Slots: 6}}
 	for offset := range 3 {
 		if got := ChooseServer(servers, offset); got != 1 {
@@ -151,11 +150,9 @@
 	}
 }
 
-// Symptom: requests within their accounts' shares are refused as busy while a
-// tenth of the engines has nothing to do.
-// Events: engines have few slots; both that a request's shared part prefers are
-// full for a moment.
-// Cause: no other engine was looked at.
+// Guards against refusing requests within their accounts' shares while a tenth of the
+// engines is idle. Engines have few slots, so both preferred engines of a request can be
+// full for a short time; further engines must be considered then.
 func TestFullEnginesAreNoReasonToRefuseWhileOthersHaveRoom(t *testing.T) {
 	list := engines(6)
 	for i := range list {
@@ -172,32 +169,32 @@
 	}
 }
 
-// Engines beyond the homes of a key are not even looked at while a home has
-// room: each of them would read the key's parts anew.
-func TestPartsStayAtTheirHomes(t *testing.T) {
+// Engines beyond the preferred ones of a key are not considered while a preferred one has
+// room: each of them would have to read the key's segments again.
+func TestSegmentsStayAtPreferredEngines(t *testing.T) {
 	list := engines(6)
 	list[0].Running, list[0].Pending = 5, 20_000
 	list[1].Running, list[1].Pending = 5, 10_000
-	looked := 0
-	choice := ChooseEngine(len(list), func(place int) Engine { looked++; return list[place] }, Demand{OwnTokens: 500, Budget: time.Second}, limits)
-	if choice.Place != 1 || looked != PreferredEngines {
-		t.Errorf("%+v after %d looks", choice, looked)
+	lookups := 0
+	choice := ChooseEngine(len(list), func(place int) Engine { lookups++; return list[place] }, Demand{OwnTokens: 500, Budget: time.Second}, limits)
+	if choice.Place != 1 || lookups != PreferredEngines {
+		t.Errorf("%+v after %d lookups", choice, lookups)
 	}
 }
 
-// Rank names the heaviest engines in their order, whatever the list.
+// Rank returns the engines with the highest weights in their order, whatever the list.
 func TestRankOrdersByWeight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := hashes(rapid.IntRange(0, 40).Draw(t, "engines"))
 		key := rapid.Uint64().Draw(t, "key")
-		most := rapid.IntRange(0, 10).Draw(t, "most")
+		count := rapid.IntRange(0, 10).Draw(t, "most")
 		all := make([]int, len(list))
 		for i := range all {
 			all[i] = i
 		}
 		slices.SortStableFunc(all, func(a, b int) int { return cmp.Compare(Weight(key, list[b]), Weight(key, list[a])) })
-		if ranked := Rank(list, same, key, most); !slices.Equal(ranked, all[:min(most, len(all))]) {
-			t.Fatalf("%v, want the first %d of %v", ranked, most, all)
+		if ranked := Rank(list, same, key, count); !slices.Equal(ranked, all[:min(count, len(all))]) {
+			t.Fatalf("%v, want the first %d of %v", ranked, count, all)
 		}
 	})
 }
--- a/internal/selection/weighted_test.go
+++ b/internal/selection/weighted_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against fast engines that stand half empty beside slow ones that are full.
+// Guards against fast engines that are half idle beside slow ones that are full.
 func TestKeysAreSpreadByWeight(t *testing.T) {
 	list, weights := hashes(10), []float64{1, 1, 1, 1, 1, 2, 2, 2, 2, 2}
 	counts := make([]int, len(list))
@@ -23,7 +23,7 @@
 	}
 }
 
-// Guards against prompt parts that are read anew all over the fleet whenever an engine's
+// Guards against prompt segments being read again across the fleet when an engine's
 // weight changes: only keys of that engine may move.
 func TestFewKeysMoveWhenAWeightChanges(t *testing.T) {
 	list := hashes(10)
@@ -38,8 +38,8 @@
 	}
 }
 
-// Guards against orders that depend on how the list is searched: each engine of the rank
-// is the first of the engines that are left.
+// Guards against an order that depends on the search: each rank is a prefix of the longer
+// ones.
 func TestRankWeightedOrdersByCost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := hashes(rapid.IntRange(1, 30).Draw(t, "engines"))
@@ -49,9 +49,9 @@
 		}
 		key := rapid.Uint64().Draw(t, "key")
 		ranked := RankWeighted(list, same, weights, key, len(list))
-		for most := range len(list) {
-			if first := RankWeighted(list, same, weights, key, most); !slices.Equal(first, ranked[:most]) {
-				t.Fatalf("the first %d are %v, want %v", most, first, ranked[:most])
+		for count := range len(list) {
+			if first := RankWeighted(list, same, weights, key, count); !slices.Equal(first, ranked[:count]) {
+				t.Fatalf("the first %d are %v, want %v", count, first, ranked[:count])
 			}
 		}
 	})
