--- a/internal/shares/shares_test.go
+++ b/internal/shares/shares_test.go
@@ -13,45 +13,45 @@
 
 const start = boottime.Instant(time.Hour)
 
-func TestWaterLevel(t *testing.T) {
+func TestMaxMinShare(t *testing.T) {
 	for _, test := range []struct {
-		asked    []float64
-		capacity float64
-		want     float64
+		requested []float64
+		capacity  float64
+		want      float64
 	}{
 		{nil, 10, math.Inf(1)},
 		{[]float64{3, 4}, 10, math.Inf(1)},
 		{[]float64{10, 10}, 10, 5},
 		{[]float64{1, 100, 100}, 21, 10},
 	} {
-		if got := MaxMinShare(test.asked, test.capacity); got != test.want {
-			t.Errorf("%v of %v: %v, want %v", test.asked, test.capacity, got, test.want)
+		if got := MaxMinShare(test.requested, test.capacity); got != test.want {
+			t.Errorf("%v of %v: %v, want %v", test.requested, test.capacity, got, test.want)
 		}
 	}
 }
 
-// The level hands out the whole capacity, and no account below it is limited.
-func TestWaterLevelHandsOutTheCapacity(t *testing.T) {
+// The share divides the whole capacity, and limits no account that requests less.
+func TestMaxMinShareDividesTheWholeCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		asked := rapid.SliceOfN(rapid.Float64Range(0, 1000), 1, 20).Draw(t, "asked")
+		requested := rapid.SliceOfN(rapid.Float64Range(0, 1000), 1, 20).Draw(t, "asked")
 		capacity := rapid.Float64Range(1, 5000).Draw(t, "capacity")
 		total := 0.0
-		for _, amount := range asked {
+		for _, amount := range requested {
 			total += amount
 		}
-		level := MaxMinShare(asked, capacity)
-		given := 0.0
-		for _, amount := range asked {
-			given += min(amount, level)
+		share := MaxMinShare(requested, capacity)
+		granted := 0.0
+		for _, amount := range requested {
+			granted += min(amount, share)
 		}
-		if want := min(total, capacity); math.Abs(given-want) > 1e-6*want {
-			t.Fatalf("%v are given, want %v", given, want)
+		if want := min(total, capacity); math.Abs(granted-want) > 1e-6*want {
+			t.Fatalf("%v granted, want %v", granted, want)
 		}
 	})
 }
 
-// An account that asks for less than an even share is never refused, however
-// much another one asks.
+// An account that requests less than an even share is never refused, however much another
+// one requests.
 func TestFloodDoesNotLimitSmallAccounts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ledger := NewLedger()
@@ -66,41 +66,40 @@
 			}
 			ledger.AddRequested("small", 40, now)
 			if ledger.ShareUsed("small", 40, capacity, now) > 1 {
-				t.Fatalf("the small account is refused at level %v", ledger.MaxMinShare())
+				t.Fatalf("the small account is refused at a share of %v", ledger.MaxMinShare())
 			}
 			ledger.AddGranted("small", 40, now)
 		}
 	})
 }
 
-// Symptom: an account gets several times its share by asking at all routers.
-// Events: it floods every router.
-// Cause: each router counted for itself.
+// Guards against an account getting several times its share by sending to all routers
+// while each router counts only its own requests.
 func TestSharesCountAllRouters(t *testing.T) {
 	ledger := NewLedger()
 	ledger.SetOther("other", map[fleet.Account]Usage{"large": {Requested: 10_000, Granted: 4_000}, "small": {Requested: 1500, Granted: 500}}, start)
 	ledger.AddRequested("large", 1000, start)
 	if ledger.ShareUsed("large", 1000, 1000, start) <= 1 {
-		t.Error("the account has got more than its share elsewhere")
+		t.Error("the account has used more than its share at another router")
 	}
 	if ledger.ShareUsed("small", 100, 1000, start) > 1 {
-		t.Error("the other account has not")
+		t.Error("the other account has not used its share, but is refused")
 	}
 	ledger.RemoveOther("other")
 	if ledger.ShareUsed("large", 1000, 1000, start.Add(time.Second)) > 1 {
-		t.Error("a lost router still counts")
+		t.Error("a removed router still counts")
 	}
 }
 
-func TestSumsDecay(t *testing.T) {
+func TestUsageDecays(t *testing.T) {
 	ledger := NewLedger()
 	ledger.AddGranted("a", 1000, start)
-	uses := ledger.Own(start.Add(memory))
-	if got := uses["a"].Granted; math.Abs(got-1000/math.E) > 1 {
-		t.Errorf("%v is left after the time constant", got)
+	usages := ledger.Own(start.Add(decayTime))
+	if got := usages["a"].Granted; math.Abs(got-1000/math.E) > 1 {
+		t.Errorf("%v remains after the time constant", got)
 	}
-	if uses := ledger.Own(start.Add(20 * memory)); len(uses) != 0 {
-		t.Errorf("%v is still there", uses)
+	if usages := ledger.Own(start.Add(20 * decayTime)); len(usages) != 0 {
+		t.Errorf("%v has not been dropped", usages)
 	}
 }
 
@@ -109,24 +108,23 @@
 	ledger.AddGranted("a", 1000, start)
 	ledger.RefundGranted("a", 1000, start)
 	if got := ledger.Own(start)["a"].Granted; got != 0 {
-		t.Errorf("%v is counted", got)
+		t.Errorf("%v is still counted", got)
 	}
 }
 
-// Symptom: whoever asks most gets most, and the others less than half of it.
-// Events: engines do two fifths of the stated capacity; a large and a middling
-// account both ask for more than that.
-// Cause: both counted as short of their shares of the stated capacity.
-func TestShortEnginesAreDividedEvenly(t *testing.T) {
-	const stated, does = 1000.0, 400.0
+// Guards against accounts getting less than half of what the one gets that sends most
+// requests. When engines do two fifths of the stated capacity and two accounts request
+// more than that, both would count as below their shares of the stated capacity.
+func TestObservedCapacityIsDividedEvenly(t *testing.T) {
+	const stated, actual = 1000.0, 400.0
 	ledger := NewLedger()
 	ledger.ObserveCapacity = true
 	got := map[fleet.Account]float64{}
 	now := start
 	for tick := range 200 {
 		now = now.Add(50 * time.Millisecond)
-		left := does * 0.05
-		// The large account asks three times as often, so it is first each time.
+		left := actual * 0.05
+		// The large account sends three times as often, so it is first each time.
 		for _, account := range []fleet.Account{"large", "large", "large", "middling"} {
 			ledger.AddRequested(account, 20, now)
 			if left < 20 || ledger.ShareUsed(account, 20, stated, now) > 1 {
@@ -147,8 +145,8 @@
 	}
 }
 
-// Capacity that nobody asks for is no shortage, and one that comes back is found.
-func TestShortagePasses(t *testing.T) {
+// Capacity that nobody requests is no shortage, and a shortage ends with its cause.
+func TestShortageEnds(t *testing.T) {
 	ledger := NewLedger()
 	ledger.ObserveCapacity = true
 	now := start
@@ -157,8 +155,8 @@
 		ledger.AddRequested("a", 10, now)
 		ledger.AddGranted("a", 10, now)
 	}
-	if standing := ledger.ShareUsed("a", 10, 1000, now); standing != 0 || ledger.Shortage() != 0 {
-		t.Errorf("standing %v, shortage %v with little to do", standing, ledger.Shortage())
+	if shareUsed := ledger.ShareUsed("a", 10, 1000, now); shareUsed != 0 || ledger.Shortage() != 0 {
+		t.Errorf("share used %v, shortage %v under low load", shareUsed, ledger.Shortage())
 	}
 	for range 200 {
 		now = now.Add(50 * time.Millisecond)
@@ -168,14 +166,12 @@
 		}
 	}
 	if ledger.Shortage() > 0.1 {
-		t.Errorf("shortage %v after the engines took all they were given", ledger.Shortage())
+		t.Errorf("shortage %v although the engines took all requests", ledger.Shortage())
 	}
 }
 
-// Symptom: callers of the first second are refused though the engines have room.
-// Events: a fleet starts and is asked for more than its capacity at once.
-// Cause: what accounts got was small because it had just begun, and was taken
-// for what the engines can do.
+// Guards against refusals while engines have room, when a fleet starts under overload:
+// few tokens have been granted by then, which must not be taken as the engines' capacity.
 func TestStartIsNoShortage(t *testing.T) {
 	ledger := NewLedger()
 	ledger.ObserveCapacity = true
@@ -191,9 +187,9 @@
 	}
 }
 
-// flood lets an account ask for three times the stated 1,000 tokens a second for
-// the time and get what its standing allows, and returns the moment of the end
-// and the greatest shortage.
+// flood lets an account request three times the stated 1,000 tokens per second for the
+// given time and grants what its share allows. It returns the end time and the greatest
+// shortage.
 func flood(ledger *Ledger, now boottime.Instant, length time.Duration) (boottime.Instant, float64) {
 	worst := 0.0
 	for end := now.Add(length); now < end; now = now.Add(10 * time.Millisecond) {
@@ -206,11 +202,9 @@
 	return now, worst
 }
 
-// Symptom: for three seconds after an outage of the store most callers are
-// refused, before engines that have nothing to do.
-// Events: for six seconds no key can be trusted, so nobody is let in; then
-// callers ask for three times the capacity, as before.
-// Cause: what accounts got was nothing, and was taken for what engines can do.
+// Guards against refusals before idle engines for three seconds after an outage of the
+// store. For six seconds no key can be verified, so nobody is admitted and nothing is
+// granted, which must not be taken as the engines' capacity.
 func TestOutageIsNoShortage(t *testing.T) {
 	ledger := NewLedger()
 	ledger.ObserveCapacity = true
@@ -224,10 +218,9 @@
 	}
 }
 
-// Symptom: the first seconds of a burst are refused, before engines that could
-// serve them.
-// Events: accounts ask for a third of the capacity, then for three times of it.
-// Cause: what they got before the burst was taken for what engines can do.
+// Guards against refusals in the first seconds of a burst while engines have room:
+// accounts request a third of the capacity, then three times the capacity, and what they
+// were granted before the burst must not be taken as the engines' capacity.
 func TestBurstIsNoShortage(t *testing.T) {
 	ledger := NewLedger()
 	ledger.ObserveCapacity = true
@@ -243,22 +236,21 @@
 	}
 }
 
-// Symptom: one account gets three times what another gets that asks for as much
-// as that.
-// Events: engines can do more than the stated capacity; a large account asks ten
-// times as often as a middling one, and both for more than there is.
-// Cause: what was idle went to whoever asked most.
+// Guards against one account getting three times what another gets, although the other
+// requests as much as that. Engines can do more than the stated capacity, and a large
+// account sends ten times as many requests as a middling one; idle capacity must not go
+// to whoever sends most.
 func TestIdleCapacityIsSharedEvenly(t *testing.T) {
-	const stated, does = 1000.0, 3000.0
+	const stated, actual = 1000.0, 3000.0
 	ledger := NewLedger()
 	got := map[fleet.Account]float64{}
 	now := start
 	for tick := range 400 {
 		now = now.Add(50 * time.Millisecond)
-		left := does * 0.05
-		for ask := range 11 {
+		left := actual * 0.05
+		for attempt := range 11 {
 			account := fleet.Account("large")
-			if ask == 10 {
+			if attempt == 10 {
 				account = "middling"
 			}
 			const tokens = 100
@@ -278,7 +270,8 @@
 			}
 		}
 	}
-	// The middling one asks for 2,000 a second, an even part would be 1,500.
+	// The middling account requests 2,000 tokens per second; an even share would be
+	// 1,500.
 	if got["middling"] < got["large"]/2 {
 		t.Errorf("tokens: %v", got)
 	}
