--- a/internal/peering/control_bench_test.go
+++ b/internal/peering/control_bench_test.go
@@ -16,7 +16,7 @@
 	"github.com/bluebellchute/bluebellchute/internal/shares"
 )
 
-// busyLocal is a router with some requests at drawn engines, of drawn accounts.
+// busyLocal is a router with requests of random accounts at random engines.
 type busyLocal struct {
 	Local
 	loads map[uint32]gate.BackendLoad
@@ -47,87 +47,87 @@
 	return l.paces()
 }
 
-// BenchmarkControlSecond is what one router spends in a second on telling the others and
-// on hearing them, with its bytes in that second: one in the middle, and the one that sums
-// its zone.
+// BenchmarkControlSecond measures the time that one router spends per second on sending
+// and receiving heartbeats, and its bytes: an ordinary router and the aggregator of its
+// zone.
 func BenchmarkControlSecond(b *testing.B) {
-	const zones, perSecond = 5, int(time.Second / beatInterval)
+	const zones, perSecond = 5, int(time.Second / heartbeatInterval)
 	for _, routers := range []int{100, 356, 712} {
-		f := newFabric(b, zones, routers/zones)
+		f := newSimNetwork(b, zones, routers/zones)
 		for address := range f.routers {
 			f.routers[address].SetLocal(newBusyLocal(10, 640, 333))
 		}
-		f.play(perSecond)
+		f.run(perSecond)
 		for _, role := range []string{"middle", "summing"} {
 			var watched *Manager
 			for _, address := range f.addresses() {
-				if f.routers[address].summing(f.now) == (role == "summing") {
+				if f.routers[address].isAggregator(f.now) == (role == "summing") {
 					watched = f.routers[address]
 				}
 			}
-			heard := f.record(watched, perSecond)
-			b.Run(fmt.Sprintf("%s of %d", role, routers), func(b *testing.B) { controlSecond(b, f, watched, heard, perSecond) })
+			received := f.runAndRecord(watched, perSecond)
+			b.Run(fmt.Sprintf("%s of %d", role, routers), func(b *testing.B) { benchmarkControl(b, f, watched, received, perSecond) })
 		}
 	}
 }
 
-// record plays rounds and returns the beats that arrive at the router.
-func (f *fabric) record(router *Manager, rounds int) [][]byte {
-	var heard [][]byte
-	f.arrived = func(data []byte, to *Manager) {
+// runAndRecord runs rounds and returns the heartbeats that arrive at the router.
+func (f *simNetwork) runAndRecord(router *Manager, rounds int) [][]byte {
+	var received [][]byte
+	f.onData = func(data []byte, to *Manager) {
 		if to == router {
-			heard = append(heard, data)
+			received = append(received, data)
 		}
 	}
-	f.play(rounds)
-	f.arrived = nil
-	return heard
+	f.run(rounds)
+	f.onData = nil
+	return received
 }
 
-// BenchmarkFleetSecondWithPaces is what a router sends in a second, on average over 24
-// routers with 43 engines whose paces are not known, known, or known with a tenth of the
-// engines in a slow phase.
+// BenchmarkFleetSecondWithPaces measures the bytes that a router sends per second,
+// averaged over 24 routers with 43 engines whose paces are unknown, known, or known with
+// a tenth of the engines in a slow phase.
 func BenchmarkFleetSecondWithPaces(b *testing.B) {
-	const zones, perZone, engines, perSecond = 3, 8, 43, int(time.Second / beatInterval)
-	for _, told := range []string{"no paces", "paces", "paces and slowed"} {
-		b.Run(told, func(b *testing.B) {
-			f := newFabric(b, zones, perZone)
+	const zones, perZone, engines, perSecond = 3, 8, 43, int(time.Second / heartbeatInterval)
+	for _, name := range []string{"no paces", "paces", "paces and slowed"} {
+		b.Run(name, func(b *testing.B) {
+			f := newSimNetwork(b, zones, perZone)
 			for address := range f.routers {
 				local := newBusyLocal(10, engines, 30)
-				if told != "no paces" {
+				if name != "no paces" {
 					local.paces = func() map[uint32]pace.Observation {
-						return enginePaces(engines, told == "paces and slowed", f.now)
+						return fakeEnginePaces(engines, name == "paces and slowed", f.now)
 					}
 				}
 				f.routers[address].SetLocal(local)
 			}
-			f.play(settled)
-			f.bytes = 0
+			f.run(settleRounds)
+			f.crossZoneBytes = 0
 			all := 0
-			f.arrived = func(data []byte, _ *Manager) { all += len(data) }
+			f.onData = func(data []byte, _ *Manager) { all += len(data) }
 			seconds := 0
 			for b.Loop() {
-				f.play(perSecond)
+				f.run(perSecond)
 				seconds++
 			}
 			perRouter := 1000 * float64(seconds*len(f.routers))
-			b.ReportMetric(float64(all-f.bytes)/perRouter, "KB-own-zone")
-			b.ReportMetric(float64(f.bytes)/perRouter, "KB-other-zones")
+			b.ReportMetric(float64(all-f.crossZoneBytes)/perRouter, "KB-own-zone")
+			b.ReportMetric(float64(f.crossZoneBytes)/perRouter, "KB-other-zones")
 		})
 	}
 }
 
-// BenchmarkMergePaces is what a router spends on one snapshot of what all others
-// reported, ten times a second.
+// BenchmarkMergePaces measures one merge of the paces that all other routers reported,
+// which happens ten times a second.
 func BenchmarkMergePaces(b *testing.B) {
 	for _, size := range []struct{ routers, engines int }{{24, 43}, {72, 640}} {
 		b.Run(fmt.Sprintf("%d routers, %d engines", size.routers, size.engines), func(b *testing.B) {
 			now := boottime.Now()
 			table := newTable(self, "")
 			for i := range size.routers {
-				beat := beatOf(fmt.Sprint("router ", i), 1, 1)
-				beat.Paces, beat.Slowed = ownPaces(enginePaces(size.engines, false, now), now).carry(true, now)
-				table.take(beat, now)
+				beat := newHeartbeat(fmt.Sprint("router ", i), 1, 1)
+				beat.Paces, beat.Slowed = splitPaces(fakeEnginePaces(size.engines, false, now), now).encode(true, now)
+				table.applyHeartbeat(beat, now)
 			}
 			for b.Loop() {
 				table.Paces(now)
@@ -136,38 +136,38 @@
 	}
 }
 
-func controlSecond(b *testing.B, f *fabric, router *Manager, heard [][]byte, rounds int) {
+func benchmarkControl(b *testing.B, f *simNetwork, router *Manager, received [][]byte, rounds int) {
 	sent := &countingLink{}
 	router.network = sent
 	round := f.round
 	for b.Loop() {
 		for range rounds {
 			round++
-			f.now = f.now.Add(beatInterval)
+			f.now = f.now.Add(heartbeatInterval)
 			router.expire(f.now)
-			router.refreshOthers(f.now)
+			router.refreshOtherZones(f.now)
 			router.sendRound(round, f.now)
 		}
-		for _, data := range heard {
+		for _, data := range received {
 			var beat peeringpb.Beat
 			if err := proto.Unmarshal(data, &beat); err != nil {
 				b.Fatal(err)
 			}
 			beat.Clock = int64(f.now)
-			router.takeBeat(b.Context(), &beat, f.now)
+			router.handleHeartbeat(b.Context(), &beat, f.now)
 		}
 	}
-	taken := 0
-	for _, data := range heard {
-		taken += len(data)
+	receivedBytes := 0
+	for _, data := range received {
+		receivedBytes += len(data)
 	}
 	b.ReportMetric(float64(sent.bytes)/float64(b.N)/1000, "KB-sent")
-	b.ReportMetric(float64(taken)/1000, "KB-heard")
-	b.ReportMetric(float64(len(heard)), "beats-heard")
-	router.network = &link{fabric: f, from: router}
+	b.ReportMetric(float64(receivedBytes)/1000, "KB-heard")
+	b.ReportMetric(float64(len(received)), "beats-heard")
+	router.network = &simLink{sim: f, from: router}
 }
 
-// countingLink counts the bytes that a router sends to nobody.
+// countingLink counts the bytes that a router sends and discards them.
 type countingLink struct {
 	Network
 	bytes int
--- a/internal/peering/encode.go
+++ b/internal/peering/encode.go
@@ -9,77 +9,79 @@
 	"github.com/bluebellchute/bluebellchute/internal/shares"
 )
 
-// loadUnit is the tokens that a unit of load stands for in beats: far less than
-// any prompt that matters, and most values then fit into two bytes.
-const loadUnit = 16
+// tokensPerLoadUnit is the resolution of loads in heartbeats. It is far below any prompt
+// that matters, and most values then fit into two bytes.
+const tokensPerLoadUnit = 16
 
 func encodeLoads(loads map[uint32]gate.BackendLoad) *peeringpb.Loads {
 	encoded := &peeringpb.Loads{}
 	for backend, load := range loads {
 		encoded.Backend = append(encoded.Backend, backend)
 		encoded.Running = append(encoded.Running, uint32(max(load.Running, 0)))
-		encoded.Pending = append(encoded.Pending, loadUnits(load.Pending))
-		encoded.Memory = append(encoded.Memory, loadUnits(load.Memory))
+		encoded.Pending = append(encoded.Pending, toLoadUnits(load.Pending))
+		encoded.Memory = append(encoded.Memory, toLoadUnits(load.Memory))
 	}
 	return encoded
 }
 
-// loadUnits rounds up, so that a load does not vanish.
-func loadUnits(tokens float64) uint32 {
-	return uint32(math.Ceil(min(max(tokens, 0)/loadUnit, math.MaxUint32)))
+// toLoadUnits rounds up so that a small load does not become zero.
+func toLoadUnits(tokens float64) uint32 {
+	return uint32(math.Ceil(min(max(tokens, 0)/tokensPerLoadUnit, math.MaxUint32)))
 }
 
-// decodeLoads reads as many entries as all lists have.
+// decodeLoads decodes as many entries as all lists have.
 func decodeLoads(encoded *peeringpb.Loads) map[uint32]gate.BackendLoad {
 	count := min(len(encoded.GetBackend()), len(encoded.GetRunning()), len(encoded.GetPending()), len(encoded.GetMemory()))
 	loads := make(map[uint32]gate.BackendLoad, count)
 	for i := range count {
 		loads[encoded.Backend[i]] = gate.BackendLoad{
 			Running: int(encoded.Running[i]),
-			Pending: float64(encoded.Pending[i]) * loadUnit,
-			Memory:  float64(encoded.Memory[i]) * loadUnit,
+			Pending: float64(encoded.Pending[i]) * tokensPerLoadUnit,
+			Memory:  float64(encoded.Memory[i]) * tokensPerLoadUnit,
 		}
 	}
 	return loads
 }
 
-func encodeUses(uses map[fleet.Account]shares.Usage) *peeringpb.AccountUses {
+func encodeUsages(usages map[fleet.Account]shares.Usage) *peeringpb.AccountUses {
 	encoded := &peeringpb.AccountUses{}
-	for account, use := range uses {
+	for account, usage := range usages {
 		encoded.Account = append(encoded.Account, string(account))
-		encoded.Asked = append(encoded.Asked, uint64(max(use.Requested, 0)))
-		encoded.Got = append(encoded.Got, uint64(max(use.Granted, 0)))
-		encoded.Idle = append(encoded.Idle, uint64(max(use.Idle, 0)))
+		encoded.Asked = append(encoded.Asked, uint64(max(usage.Requested, 0)))
+		encoded.Got = append(encoded.Got, uint64(max(usage.Granted, 0)))
+		encoded.Idle = append(encoded.Idle, uint64(max(usage.Idle, 0)))
 	}
 	return encoded
 }
 
-// decodeUses reads as many entries as all lists have.
-func decodeUses(encoded *peeringpb.AccountUses) map[fleet.Account]shares.Usage {
+// decodeUsages decodes as many entries as all lists have.
+func decodeUsages(encoded *peeringpb.AccountUses) map[fleet.Account]shares.Usage {
 	count := min(len(encoded.GetAccount()), len(encoded.GetAsked()), len(encoded.GetGot()), len(encoded.GetIdle()))
-	uses := make(map[fleet.Account]shares.Usage, count)
+	usages := make(map[fleet.Account]shares.Usage, count)
 	for i := range count {
-		uses[fleet.Account(encoded.Account[i])] = shares.Usage{
+		usages[fleet.Account(encoded.Account[i])] = shares.Usage{
 			Requested: float64(encoded.Asked[i]),
 			Granted:   float64(encoded.Got[i]),
 			Idle:      float64(encoded.Idle[i]),
 		}
 	}
-	return uses
+	return usages
 }
 
-// reportUses tells operators what accounts asked and got.
-func reportUses(uses map[fleet.Account]shares.Usage) []*peeringpb.AccountUse {
-	report := make([]*peeringpb.AccountUse, 0, len(uses))
-	for account, use := range uses {
-		report = append(report, &peeringpb.AccountUse{Account: string(account), Asked: float32(use.Requested), Got: float32(use.Granted)})
+// accountUsageReport returns the tokens requested by and granted to each account, for
+// operators.
+func accountUsageReport(usages map[fleet.Account]shares.Usage) []*peeringpb.AccountUse {
+	report := make([]*peeringpb.AccountUse, 0, len(usages))
+	for account, usage := range usages {
+		report = append(report, &peeringpb.AccountUse{Account: string(account), Asked: float32(usage.Requested), Got: float32(usage.Granted)})
 	}
 	return report
 }
 
-// echoIn returns the clock of the router that the beat echoes, 0 for none.
-func echoIn(beat *peeringpb.Beat, router fleet.Address) int64 {
-	hash := hashOf(router)
+// echoedClock returns the newest clock of the router that the heartbeat's sender has
+// received, 0 if the heartbeat does not echo it.
+func echoedClock(beat *peeringpb.Beat, router fleet.Address) int64 {
+	hash := addressHash(router)
 	routers, clocks := beat.Echoes.GetRouter(), beat.Echoes.GetClock()
 	for i := range min(len(routers), len(clocks)) {
 		if routers[i] == hash {
--- a/internal/peering/evacuations.go
+++ b/internal/peering/evacuations.go
@@ -11,14 +11,14 @@
 	"github.com/bluebellchute/bluebellchute/internal/peering/peeringpb"
 )
 
-// Every beat carries the evacuated zones whole. There are few zones, so this costs
-// less than a call, and a router that the store does not reach, or that has just
-// started or woken up, knows them with the first beat that it hears. Zones of a newer
-// position replace those of an older one, so lost, repeated and reordered beats do no
-// harm.
+// Every heartbeat carries the full list of evacuated zones. There are few zones, so this
+// costs less than a call, and a router that cannot reach the store, or that has just
+// started or resumed, knows them with the first heartbeat that it receives. Zones with a
+// newer position replace those with an older one, so lost, repeated and reordered
+// heartbeats are harmless.
 
-// encodeEvacuations returns what a beat tells of evacuations, nil while nothing is
-// known.
+// encodeEvacuations returns the evacuations for a heartbeat, nil if their state is
+// unknown.
 func encodeEvacuations(known *knowledge.Evacuations, now boottime.Instant) *peeringpb.Evacuations {
 	if known.ConfirmedAt == 0 {
 		return nil
@@ -27,31 +27,31 @@
 		Zones:    zoneNames(known.Zones),
 		Era:      known.Position.Era,
 		Revision: known.Position.Revision,
-		Age:      age(known.ConfirmedAt, now),
+		Age:      ageAt(known.ConfirmedAt, now),
 	}
 	for zone, at := range known.ReturnedAt {
 		encoded.Returned = append(encoded.Returned, string(zone))
-		encoded.ReturnedAge = append(encoded.ReturnedAge, age(at, now))
+		encoded.ReturnedAge = append(encoded.ReturnedAge, ageAt(at, now))
 	}
 	return encoded
 }
 
-// takeEvacuations takes what a beat tells of evacuations. echo is a moment at which
-// the sender had not sent it yet, 0 if unknown: without it, nothing is known of the
-// age of what it tells.
-func takeEvacuations(state *knowledge.State, told *peeringpb.Evacuations, echo, now boottime.Instant) {
-	if told == nil || told.Age < 0 {
+// applyEvacuations applies the evacuations of a received heartbeat. echo is a time before
+// the sender sent it, 0 if unknown; without it, the age of the evacuations is unknown and
+// they are not confirmed.
+func applyEvacuations(state *knowledge.State, received *peeringpb.Evacuations, echo, now boottime.Instant) {
+	if received == nil || received.Age < 0 {
 		return
 	}
-	zones := lo.Map(told.Zones, func(zone string, _ int) fleet.Zone { return fleet.Zone(zone) })
-	state.SetEvacuations(zones, knowledge.Position{Era: told.Era, Revision: told.Revision}, 0)
+	zones := lo.Map(received.Zones, func(zone string, _ int) fleet.Zone { return fleet.Zone(zone) })
+	state.SetEvacuations(zones, knowledge.Position{Era: received.Era, Revision: received.Revision}, 0)
 	returned := make(map[fleet.Zone]boottime.Instant)
-	for i := range min(len(told.Returned), len(told.ReturnedAge)) {
-		returned[fleet.Zone(told.Returned[i])] = now.Add(-time.Duration(told.ReturnedAge[i]))
+	for i := range min(len(received.Returned), len(received.ReturnedAge)) {
+		returned[fleet.Zone(received.Returned[i])] = now.Add(-time.Duration(received.ReturnedAge[i]))
 	}
 	state.MergeReturnedZones(returned)
 	if echo != 0 {
-		state.ConfirmEvacuations(zones, echo.Add(-time.Duration(told.Age)))
+		state.ConfirmEvacuations(zones, echo.Add(-time.Duration(received.Age)))
 	}
 }
 
--- a/internal/peering/evacuations_test.go
+++ b/internal/peering/evacuations_test.go
@@ -11,42 +11,41 @@
 	"github.com/bluebellchute/bluebellchute/internal/peering/peeringpb"
 )
 
-// Symptom: a router goes on sending requests into an evacuated zone.
-// Events: it is cut off from the store, or has started while the store is down; the
-// operator evacuates a zone, then takes it back.
-// Cause: only the store told of evacuations.
-func TestEvacuationsAreTold(t *testing.T) {
-	teller, hearer := knowledge.NewState(), knowledge.NewState()
+// Guards against requests that a router keeps sending into an evacuated zone because only
+// the store reports evacuations, while the router cannot reach the store or has started
+// during an outage. The same holds for a zone that is taken back.
+func TestEvacuationsArePropagated(t *testing.T) {
+	sender, receiver := knowledge.NewState(), knowledge.NewState()
 	now := boottime.Now()
-	tell := func() {
-		view := teller.View()
-		takeEvacuations(hearer, encodeEvacuations(&view.Evacuations, boottime.Now()), now, boottime.Now())
+	send := func() {
+		view := sender.View()
+		applyEvacuations(receiver, encodeEvacuations(&view.Evacuations, boottime.Now()), now, boottime.Now())
 	}
-	tell()
-	if hearer.View().Evacuations.ConfirmedAt != 0 {
+	send()
+	if receiver.View().Evacuations.ConfirmedAt != 0 {
 		t.Error("a router that knows nothing confirmed something")
 	}
-	teller.SetEvacuations([]fleet.Zone{"b", "a"}, knowledge.Position{Revision: 4}, now)
-	tell()
-	known := hearer.View().Evacuations
+	sender.SetEvacuations([]fleet.Zone{"b", "a"}, knowledge.Position{Revision: 4}, now)
+	send()
+	known := receiver.View().Evacuations
 	if !slices.Equal(known.Zones, []fleet.Zone{"a", "b"}) || known.ConfirmedAt == 0 || known.ConfirmedAt > now {
 		t.Errorf("heard %+v", known)
 	}
-	teller.SetEvacuations([]fleet.Zone{"b"}, knowledge.Position{Revision: 5}, boottime.Now())
-	tell()
-	known = hearer.View().Evacuations
+	sender.SetEvacuations([]fleet.Zone{"b"}, knowledge.Position{Revision: 5}, boottime.Now())
+	send()
+	known = receiver.View().Evacuations
 	if !slices.Equal(known.Zones, []fleet.Zone{"b"}) || known.ReturnedAt["a"] == 0 {
 		t.Errorf("heard %+v after a zone was taken back", known)
 	}
 }
 
-// A router that started after a zone was taken back hears of that too: the zone's
+// A router that starts after a zone was taken back must learn of that, as the zone's
 // backend servers may still be cold.
-func TestNewRouterHearsOfReturnedZones(t *testing.T) {
+func TestNewRouterLearnsOfReturnedZones(t *testing.T) {
 	now := boottime.Now()
 	state := knowledge.NewState()
-	told := &peeringpb.Evacuations{Revision: 9, Returned: []string{"a", "old", "torn"}, ReturnedAge: []int64{int64(time.Second), int64(time.Hour)}}
-	takeEvacuations(state, told, 0, now)
+	received := &peeringpb.Evacuations{Revision: 9, Returned: []string{"a", "old", "torn"}, ReturnedAge: []int64{int64(time.Second), int64(time.Hour)}}
+	applyEvacuations(state, received, 0, now)
 	returned := state.View().Evacuations.ReturnedAt
 	if len(returned) != 1 || returned["a"] != now.Add(-time.Second) {
 		t.Errorf("%v", returned)
--- a/internal/peering/manager.go
+++ b/internal/peering/manager.go
@@ -20,77 +20,79 @@
 
 // Directory is where routers register and find each other.
 type Directory interface {
-	// Register registers the router under its name.
+	// Register adds the router's entry under its own name.
 	Register(ctx context.Context, address fleet.Address) error
-	// Routers returns the availability zones of all routers that have registered,
-	// the departed ones included, by their addresses.
+	// Routers returns the availability zones of all registered routers by address,
+	// including those that have ended.
 	Routers(ctx context.Context) (map[fleet.Address]fleet.Zone, error)
-	// Remove removes the entry of a router that Routers has returned. A router
-	// that is there after all registers again.
+	// Remove removes an entry that Routers has returned. A router that is still running
+	// registers again.
 	Remove(ctx context.Context, address fleet.Address) error
 }
 
-// Local is the router's own part in what beats carry.
+// Local provides the state of the local router that heartbeats carry, and receives that
+// of other routers.
 type Local interface {
-	// Usages returns what each account asked and got here.
+	// Usages returns the tokens requested by and granted to each account at this router.
 	Usages() map[fleet.Account]shares.Usage
-	// Loads returns what runs at backend servers, by their incarnations' hashes.
+	// Loads returns this router's load at backend servers, by the hashes of their
+	// incarnations.
 	Loads() map[uint32]gate.BackendLoad
-	// Paces returns what this router has seen of how fast backend servers work, by their
-	// incarnations' hashes. It is nil if it has seen nothing.
+	// Paces returns what this router has observed of how fast backend servers work, by
+	// the hashes of their incarnations. It is nil without observations.
 	Paces() map[uint32]pace.Observation
-	// TakeCrashFingerprints returns the fingerprints of requests that were found here, since
-	// the last call, to have run at a backend server that went down.
+	// TakeCrashFingerprints returns the fingerprints of requests that this router has
+	// found, since the last call, to have been running at a backend server that crashed.
 	TakeCrashFingerprints() []uint64
-	// SetUsages takes the uses of another router.
+	// SetUsages replaces the usages reported by another router.
 	SetUsages(router fleet.Address, uses map[fleet.Account]shares.Usage)
-	// RemoveUsages forgets a router that is no longer heard.
+	// RemoveUsages removes the usages of a router that is no longer reachable.
 	RemoveUsages(router fleet.Address)
-	// ReceiveCrashFingerprint takes a fingerprint from another router. It may come more
-	// than once.
+	// ReceiveCrashFingerprint adds a fingerprint reported by another router. It may be
+	// called several times with the same one.
 	ReceiveCrashFingerprint(router fleet.Address, fingerprint uint64)
-	// Status returns what operators want to know of this router.
+	// Status returns the status of this router for operators.
 	Status() gate.Status
-	// SetDrained carries out an operator's order to leave new callers to
-	// others, or to take them again. It returns the requests in progress.
+	// SetDrained drains this router on an operator's request, so that new callers go to
+	// others, or ends that. It returns the number of requests in progress.
 	SetDrained(drained bool, operator, reason string) int
 }
 
-// Options hold what a Manager needs.
+// Options configure a Manager.
 type Options struct {
-	Address     fleet.Address // of the peering port, datagrams and calls
+	Address     fleet.Address // of the peering port, for datagrams and calls
 	Zone        fleet.Zone
 	Seeds       []fleet.Address
 	Incarnation uint64
 	Directory   Directory
 	State       *knowledge.State
 	Logger      logrus.FieldLogger
-	Network     Network // sockets at Address if nil
+	Network     Network // nil for sockets at Address
 }
 
-// Manager exchanges beats with the other routers. It implements gate.Peers.
+// Manager exchanges heartbeats with the other routers. It implements gate.Peers.
 type Manager struct {
 	*table
-	options   Options
-	local     Local
-	started   boottime.Instant
-	network   Network
-	puller    *puller
-	records   *peerRecords
-	traffic   *traffic
-	broken    []brokenEntry
-	zoneLog   sumLog      // what this zone uses, as the other zones are told
-	othersLog sumLog      // what other zones use, as this one is told
-	looked    atomic.Bool // whether the directory has answered
+	options       Options
+	local         Local
+	started       boottime.Instant
+	network       Network
+	puller        *puller
+	peerLog       *peerLog
+	traffic       *traffic
+	fingerprints  []fingerprintEntry
+	zoneLog       aggregateLog // usage of this zone as sent to other zones
+	otherZonesLog aggregateLog // usage of other zones as sent within this zone
+	directoryRead atomic.Bool  // whether the directory has been read
 }
 
-// NewManager returns a manager that is silent until Run.
+// NewManager returns a manager that sends nothing until Run.
 func NewManager(options Options) *Manager {
 	m := &Manager{table: newTable(options.Address, options.Zone), options: options, network: options.Network, started: boottime.Now()}
-	m.records = &peerRecords{logger: options.Logger}
+	m.peerLog = &peerLog{logger: options.Logger}
 	m.traffic = newTraffic(options.Logger, m.started)
 	m.puller = newPuller(options.State, options.Zone, options.Logger)
-	m.puller.pulled = m.countPulled
+	m.puller.onReply = m.countPulled
 	now := boottime.Now()
 	for _, seed := range options.Seeds {
 		m.add(seed, zoneUnknown, now)
@@ -98,10 +100,10 @@
 	return m
 }
 
-// SetLocal names the router's own part. It must be called before Run.
+// SetLocal sets the local router. It must be called before Run.
 func (m *Manager) SetLocal(local Local) { m.local = local }
 
-// Run exchanges beats until the context ends.
+// Run exchanges heartbeats until the context ends.
 func (m *Manager) Run(ctx context.Context) error {
 	if m.network == nil {
 		sockets, err := listen(m.options.Address)
@@ -114,57 +116,57 @@
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return m.network.Serve(ctx, m.receiver()) })
 	group.Go(func() error { return m.send(ctx) })
-	group.Go(func() error { return m.register(ctx) })
+	group.Go(func() error { return m.maintainRegistration(ctx) })
 	return group.Wait()
 }
 
-// receiver returns what takes the messages of others.
+// receiver returns the handlers of incoming messages.
 func (m *Manager) receiver() Receiver {
 	return Receiver{
 		Heartbeat: func(ctx context.Context, data []byte) {
 			var beat peeringpb.Beat
 			if err := proto.Unmarshal(data, &beat); err != nil {
-				return // not from a router
+				return // not a heartbeat
 			}
-			m.takeBeat(ctx, &beat, boottime.Now())
+			m.handleHeartbeat(ctx, &beat, boottime.Now())
 		},
 		Knowledge: &server{state: m.options.State},
 		Operation: &operation{manager: m},
 	}
 }
 
-func (m *Manager) takeBeat(ctx context.Context, beat *peeringpb.Beat, now boottime.Instant) {
-	taken, appeared := m.take(beat, now)
-	if !taken {
+func (m *Manager) handleHeartbeat(ctx context.Context, beat *peeringpb.Beat, now boottime.Instant) {
+	accepted, joined := m.applyHeartbeat(beat, now)
+	if !accepted {
 		return
 	}
 	router := fleet.Address(beat.Address)
-	if appeared {
-		m.records.noteHeard(router)
+	if joined {
+		m.peerLog.addReachable(router)
 	}
 	for _, address := range beat.Routers {
 		m.add(fleet.Address(address), zoneUnknown, now)
 	}
-	m.local.SetUsages(router, m.uses(router))
+	m.local.SetUsages(router, m.usagesOf(router))
 	if beat.Sums != nil || beat.SumChanges != nil {
-		m.local.SetUsages(elsewhere, m.refreshOthers(now))
+		m.local.SetUsages(otherZones, m.refreshOtherZones(now))
 	}
 	for _, fingerprint := range beat.Broken {
 		m.local.ReceiveCrashFingerprint(router, fingerprint)
 	}
-	m.confirm(beat, now)
-	m.puller.consider(ctx, router, beat, m.alone, now)
+	m.applyConfirmations(beat, now)
+	m.puller.pullIfNewer(ctx, router, beat, m.aloneInZone, now)
 }
 
-// confirm takes the freshness of what both routers know. The peer sent the
-// beat after this router's clock showed the echo, so ages count from there: a
-// beat may have waited in the socket while this process stood still.
-func (m *Manager) confirm(beat *peeringpb.Beat, now boottime.Instant) {
-	echo := boottime.Instant(echoIn(beat, m.options.Address))
+// applyConfirmations updates the age of the state that both routers hold. The peer sent
+// the heartbeat after this router's clock showed the echoed value, so ages count from
+// there: the heartbeat may have waited in the socket while this process was suspended.
+func (m *Manager) applyConfirmations(beat *peeringpb.Beat, now boottime.Instant) {
+	echo := boottime.Instant(echoedClock(beat, m.options.Address))
 	if echo < m.started || echo > now {
 		echo = 0
 	}
-	takeEvacuations(m.options.State, beat.Evacuations, echo, now)
+	applyEvacuations(m.options.State, beat.Evacuations, echo, now)
 	if echo == 0 {
 		return
 	}
--- a/internal/peering/network.go
+++ b/internal/peering/network.go
@@ -14,32 +14,32 @@
 	"github.com/bluebellchute/bluebellchute/internal/peering/peeringpb"
 )
 
-// Network carries what routers tell each other.
+// Network carries messages between routers.
 type Network interface {
-	// Serve hands a router what others and operators send it, until the context ends.
+	// Serve passes incoming messages and calls to the receiver until the context ends.
 	Serve(ctx context.Context, router Receiver) error
-	// Send sends a beat to another router. It may get lost: a router that can't be
-	// reached is noticed by its silence.
+	// Send sends a heartbeat to another router. Delivery is not guaranteed; an
+	// unreachable router is detected by its missing heartbeats.
 	Send(beat []byte, to fleet.Address)
-	// Pull asks another router for what it knows.
+	// Pull requests the fleet state that another router holds.
 	Pull(ctx context.Context, router fleet.Address, request *peeringpb.PullRequest) (*peeringpb.PullReply, error)
 }
 
-// Receiver takes what arrives at a router.
+// Receiver handles the messages and calls that arrive at a router.
 type Receiver struct {
 	Heartbeat func(ctx context.Context, beat []byte)
 	Knowledge peeringpb.Knowledge
 	Operation peeringpb.Operation
 }
 
-// sockets is the Network of a VM: datagrams and calls at one address.
+// sockets implements Network with datagrams and calls at one address.
 type sockets struct {
 	address fleet.Address
 	socket  *net.UDPConn
 	client  *http.Client
 }
 
-// listen returns the network of the router at the address.
+// listen opens the sockets of the router at the address.
 func listen(address fleet.Address) (*sockets, error) {
 	parsed, err := netip.ParseAddrPort(string(address))
 	if err != nil {
@@ -62,7 +62,7 @@
 
 // Serve implements Network.
 func (s *sockets) Serve(ctx context.Context, router Receiver) error {
-	stop := context.AfterFunc(ctx, func() { _ = s.socket.Close() }) // ends receive
+	stop := context.AfterFunc(ctx, func() { _ = s.socket.Close() }) // unblocks receive
 	defer stop()
 	mux := http.NewServeMux()
 	mux.Handle(peeringpb.KnowledgePathPrefix, peeringpb.NewKnowledgeServer(router.Knowledge))
@@ -73,21 +73,21 @@
 	return group.Wait()
 }
 
-// receive takes beats until the socket is closed.
-func (s *sockets) receive(ctx context.Context, take func(ctx context.Context, beat []byte)) error {
-	buffer := make([]byte, beatMost)
+// receive handles heartbeats until the socket is closed.
+func (s *sockets) receive(ctx context.Context, handle func(ctx context.Context, beat []byte)) error {
+	buffer := make([]byte, maxHeartbeatSize)
 	for {
 		n, _, err := s.socket.ReadFromUDPAddrPort(buffer)
 		if ctx.Err() != nil {
 			return nil
 		}
 		if err != nil {
-			// A datagram that could not be delivered may show here. The next
-			// read works; a pause keeps a lasting fault from spinning.
+			// The error may be about an earlier datagram that could not be delivered, and
+			// the next read succeeds. The pause avoids a busy loop on a persistent error.
 			time.Sleep(time.Millisecond)
 			continue
 		}
-		take(ctx, buffer[:n])
+		handle(ctx, buffer[:n])
 	}
 }
 
@@ -95,7 +95,7 @@
 func (s *sockets) Send(beat []byte, to fleet.Address) {
 	address, err := netip.ParseAddrPort(string(to))
 	if err != nil {
-		return // a directory entry that is no address
+		return // invalid address in the directory
 	}
 	_, _ = s.socket.WriteToUDPAddrPort(beat, address)
 }
--- a/internal/peering/operation.go
+++ b/internal/peering/operation.go
@@ -9,7 +9,7 @@
 	"github.com/bluebellchute/bluebellchute/internal/peering/peeringpb"
 )
 
-// operation answers operators.
+// operation serves calls from operators.
 type operation struct{ manager *Manager }
 
 // Status implements peeringpb.Operation.
@@ -21,15 +21,15 @@
 		Vm:        status.VM,
 		Zone:      string(status.Zone),
 		Version:   view.Version(),
-		ConfigAge: age(view.ConfigurationConfirmedAt, now),
+		ConfigAge: ageAt(view.ConfigurationConfirmedAt, now),
 		Backends:  uint32(len(view.Backends)),
-		ListAge:   age(view.ListConfirmedAt, now),
+		ListAge:   ageAt(view.ListConfirmedAt, now),
 		NotReady:  status.NotReady,
 		Running:   uint32(status.Running),
 		Follows:   o.manager.WatchesStore(),
-		Uses:      reportUses(o.manager.local.Usages()),
+		Uses:      accountUsageReport(o.manager.local.Usages()),
 		Evacuated: zoneNames(view.Evacuations.Zones),
-		Engines:   reportPaces(status.Engines),
+		Engines:   enginePaceReport(status.Engines),
 	}
 	return reply, nil
 }
--- a/internal/peering/paces.go
+++ b/internal/peering/paces.go
@@ -11,39 +11,39 @@
 )
 
 const (
-	// paceCycles is the number of cycles, in each of which all targets have their turn
-	// once, of which one carries paces. They change slowly.
-	paceCycles = 20
-	// paceRounds bounds the rounds from one of these cycles to the next. In zones with
-	// hundreds of routers a cycle takes a second or more, and what was told must be
-	// replaced before it is too old to count.
-	paceRounds = int(pace.MaxAge / 3 / beatInterval)
-	// paceDigits converts work times to hundredths.
-	paceDigits = 100
-	// streamUnits is how many units a stream counts in beats.
-	streamUnits = 10
+	// cyclesPerPaces is the number of cycles per cycle that carries paces. In a cycle
+	// every target is sent to once. Paces change slowly.
+	cyclesPerPaces = 20
+	// maxPaceRounds bounds the number of rounds between cycles with paces. In zones with
+	// hundreds of routers a cycle takes a second or more, and paces must be sent again
+	// before they expire at the receiver.
+	maxPaceRounds = int(pace.MaxAge / 3 / heartbeatInterval)
+	// workTimeScale encodes work times in hundredths.
+	workTimeScale = 100
+	// streamScale encodes stream counts in tenths.
+	streamScale = 10
 )
 
-// paces are what routers told of how fast backend servers work, by the hashes of their
-// incarnations. The two parts are told at different times.
+// paces are the reported speeds of backend servers, by the hashes of their incarnations.
+// The two fields are sent at different intervals.
 type paces struct {
-	usual  map[uint32]pace.Observation // all but the newest work times
-	at     boottime.Instant            // the moment as of which usual is
-	slowed map[uint32]pace.Observation // the newest work times alone
+	usual   map[uint32]pace.Observation // everything but the newest work times
+	usualAt boottime.Instant            // the time as of which usual is
+	slowed  map[uint32]pace.Observation // only the newest work times
 }
 
-// newPaces returns sums that are empty, as of the moment.
+// newPaces returns empty paces as of the given time.
 func newPaces(now boottime.Instant) paces {
-	return paces{usual: make(map[uint32]pace.Observation), slowed: make(map[uint32]pace.Observation), at: now}
+	return paces{usual: make(map[uint32]pace.Observation), slowed: make(map[uint32]pace.Observation), usualAt: now}
 }
 
-// ownPaces divides what this router has seen into the parts that beats carry.
-func ownPaces(seen map[uint32]pace.Observation, now boottime.Instant) paces {
-	if len(seen) == 0 {
-		return paces{at: now}
+// splitPaces splits this router's observations into the parts that heartbeats carry.
+func splitPaces(observed map[uint32]pace.Observation, now boottime.Instant) paces {
+	if len(observed) == 0 {
+		return paces{usualAt: now}
 	}
 	own := newPaces(now)
-	for server, observation := range seen {
+	for server, observation := range observed {
 		if observation.Slowed(now) {
 			own.slowed[server] = pace.Observation{Now: observation.Now, NowAt: observation.NowAt}
 		}
@@ -53,10 +53,10 @@
 	return own
 }
 
-// add adds what others told, as it has become until the moment, the usual work times only
-// if usual is set.
+// add adds reported paces, decayed to the given time. Usual work times are added only if
+// usual is set.
 func (p *paces) add(other paces, now boottime.Instant, usual bool) {
-	if passed := now.Sub(other.at); usual && passed < pace.MaxAge {
+	if passed := now.Sub(other.usualAt); usual && passed < pace.MaxAge {
 		for server, observation := range other.usual {
 			p.usual[server] = p.usual[server].Merge(observation.Decayed(passed))
 		}
@@ -66,16 +66,15 @@
 	}
 }
 
-// or returns what is told, with the usual work times told before where none came with
-// it.
-func (p paces) or(before paces) paces {
+// orPrevious returns p, with the previous usual work times if p has none.
+func (p paces) orPrevious(before paces) paces {
 	if p.usual == nil {
-		p.usual, p.at = before.usual, before.at
+		p.usual, p.usualAt = before.usual, before.usualAt
 	}
 	return p
 }
 
-// merged returns both parts as one, nil if nothing is known.
+// merged returns both parts as one map, nil if both are empty.
 func (p paces) merged() map[uint32]pace.Observation {
 	if len(p.usual)+len(p.slowed) == 0 {
 		return nil
@@ -86,8 +85,8 @@
 	return p.usual
 }
 
-// Paces implements gate.Peers. It merges without holding the lock: requests wait for it,
-// and the routers of a large fleet report on hundreds of servers each.
+// Paces implements gate.Peers. It merges without holding the lock: requests wait for the
+// lock, and the routers of a large fleet report on hundreds of servers each.
 func (t *table) Paces(now boottime.Instant) map[uint32]pace.Observation {
 	total := newPaces(now)
 	for _, reported := range t.reportedPaces(now) {
@@ -96,37 +95,38 @@
 	return total.merged()
 }
 
-// reportedPaces returns what each router that is heard reported, and the sums of other
-// zones. Their maps are replaced as a whole, never changed, so they may be read without
+// reportedPaces returns the paces reported by each reachable router, and the aggregate of
+// other zones. Their maps are replaced and never modified, so they may be read without
 // the lock.
 func (t *table) reportedPaces(now boottime.Instant) []paces {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	reported := make([]paces, 0, len(t.peers)+1)
 	for _, peer := range t.peers {
-		if t.hears(peer, now) {
-			reported = append(reported, peer.use.paces)
+		if t.reachable(peer, now) {
+			reported = append(reported, peer.usage.paces)
 		}
 	}
-	return append(reported, t.otherPaces)
+	return append(reported, t.otherZonePaces)
 }
 
-// pacesDue tells whether the beats of a round to targets that have their turn in so many
-// rounds carry paces. Routers that start together have theirs in different rounds.
+// pacesDue reports whether heartbeats of a round carry paces, if a cycle through the
+// targets takes the given number of rounds. The router's hash spreads routers that start
+// together over different rounds.
 func (t *table) pacesDue(round, turns int) bool {
-	cycles := max(min(paceCycles, paceRounds/turns), 1)
+	cycles := max(min(cyclesPerPaces, maxPaceRounds/turns), 1)
 	return (round/turns+int(t.hash%uint64(cycles)))%cycles == 0
 }
 
-// carry returns the parts that a beat carries, the usual work times only when due.
-func (p paces) carry(due bool, now boottime.Instant) (*peeringpb.Paces, *peeringpb.Slowed) {
+// encode returns the parts for a heartbeat. Usual work times are included only when due.
+func (p paces) encode(due bool, now boottime.Instant) (*peeringpb.Paces, *peeringpb.Slowed) {
 	if !due {
 		return nil, encodeSlowed(p, now)
 	}
 	return encodePaces(p.usual), encodeSlowed(p, now)
 }
 
-// encodePaces returns nil if nothing is known, so that nothing is sent.
+// encodePaces returns nil without usual work times, so that the field is omitted.
 func encodePaces(usual map[uint32]pace.Observation) *peeringpb.Paces {
 	encoded := &peeringpb.Paces{}
 	for server, observation := range usual {
@@ -134,11 +134,11 @@
 			continue
 		}
 		encoded.Backend = append(encoded.Backend, server)
-		encoded.Usual = append(encoded.Usual, max(units(observation.Usual*paceDigits), 1))
-		encoded.ReadTokens = append(encoded.ReadTokens, units(observation.ReadTokens/loadUnit))
-		encoded.ReadMs = append(encoded.ReadMs, units(observation.ReadSeconds*1000))
-		encoded.Streams = append(encoded.Streams, units(observation.Streams*streamUnits))
-		encoded.Late = append(encoded.Late, units(observation.Late*streamUnits))
+		encoded.Usual = append(encoded.Usual, max(roundToUint32(observation.Usual*workTimeScale), 1))
+		encoded.ReadTokens = append(encoded.ReadTokens, roundToUint32(observation.ReadTokens/tokensPerLoadUnit))
+		encoded.ReadMs = append(encoded.ReadMs, roundToUint32(observation.ReadSeconds*1000))
+		encoded.Streams = append(encoded.Streams, roundToUint32(observation.Streams*streamScale))
+		encoded.Late = append(encoded.Late, roundToUint32(observation.Late*streamScale))
 	}
 	if len(encoded.Backend) == 0 {
 		return nil
@@ -146,8 +146,9 @@
 	return encoded
 }
 
-// encodeSlowed returns nil if no server is slowed. Those whose usual work time is higher
-// than the one who told thought are left out.
+// encodeSlowed returns nil if no server is slowed. It omits servers whose usual work
+// time, merged from several routers, is higher than the reporting router assumed, so that
+// they no longer count as slowed.
 func encodeSlowed(p paces, now boottime.Instant) *peeringpb.Slowed {
 	encoded := &peeringpb.Slowed{}
 	for server, newest := range p.slowed {
@@ -155,8 +156,8 @@
 			continue
 		}
 		encoded.Backend = append(encoded.Backend, server)
-		encoded.Now = append(encoded.Now, units(newest.Now*paceDigits))
-		encoded.AgeMs = append(encoded.AgeMs, units(float64(now.Sub(newest.NowAt))/float64(time.Millisecond)))
+		encoded.Now = append(encoded.Now, roundToUint32(newest.Now*workTimeScale))
+		encoded.AgeMs = append(encoded.AgeMs, roundToUint32(float64(now.Sub(newest.NowAt))/float64(time.Millisecond)))
 	}
 	if len(encoded.Backend) == 0 {
 		return nil
@@ -164,53 +165,54 @@
 	return encoded
 }
 
-// units rounds a figure that is not negative to whole units.
-func units(value float64) uint32 {
+// roundToUint32 rounds to the nearest integer, within the range of uint32.
+func roundToUint32(value float64) uint32 {
 	return uint32(math.Round(min(max(value, 0), math.MaxUint32)))
 }
 
-// decodePaces reads what a beat or sums carry, as many entries as all lists have.
+// decodePaces decodes the paces of a heartbeat or an aggregate, as many entries as all
+// lists have.
 func decodePaces(usual *peeringpb.Paces, slowed *peeringpb.Slowed, now boottime.Instant) paces {
-	told := paces{at: now}
+	decoded := paces{usualAt: now}
 	if usual != nil {
-		told.usual = decodeUsual(usual)
+		decoded.usual = decodeUsual(usual)
 	}
 	count := min(len(slowed.GetBackend()), len(slowed.GetNow()), len(slowed.GetAgeMs()))
 	for i := range count {
-		workTime := float64(slowed.Now[i]) / paceDigits
+		workTime := float64(slowed.Now[i]) / workTimeScale
 		if !pace.ValidWorkTime(workTime) {
 			continue
 		}
-		if told.slowed == nil {
-			told.slowed = make(map[uint32]pace.Observation, count)
+		if decoded.slowed == nil {
+			decoded.slowed = make(map[uint32]pace.Observation, count)
 		}
 		at := now.Add(-time.Duration(slowed.AgeMs[i]) * time.Millisecond)
-		told.slowed[slowed.Backend[i]] = pace.Observation{Now: workTime, NowAt: max(at, 1)}
+		decoded.slowed[slowed.Backend[i]] = pace.Observation{Now: workTime, NowAt: max(at, 1)}
 	}
-	return told
+	return decoded
 }
 
 func decodeUsual(encoded *peeringpb.Paces) map[uint32]pace.Observation {
 	count := min(len(encoded.Backend), len(encoded.Usual), len(encoded.ReadTokens), len(encoded.ReadMs), len(encoded.Streams), len(encoded.Late))
 	usual := make(map[uint32]pace.Observation, count)
 	for i := range count {
-		workTime := float64(encoded.Usual[i]) / paceDigits
+		workTime := float64(encoded.Usual[i]) / workTimeScale
 		if !pace.ValidWorkTime(workTime) {
 			continue
 		}
 		usual[encoded.Backend[i]] = pace.Observation{
 			Usual:       workTime,
-			ReadTokens:  float64(encoded.ReadTokens[i]) * loadUnit,
+			ReadTokens:  float64(encoded.ReadTokens[i]) * tokensPerLoadUnit,
 			ReadSeconds: float64(encoded.ReadMs[i]) / 1000,
-			Streams:     float64(encoded.Streams[i]) / streamUnits,
-			Late:        float64(encoded.Late[i]) / streamUnits,
+			Streams:     float64(encoded.Streams[i]) / streamScale,
+			Late:        float64(encoded.Late[i]) / streamScale,
 		}
 	}
 	return usual
 }
 
-// reportPaces tells operators how fast backend servers work.
-func reportPaces(engines []gate.EnginePace) []*peeringpb.EnginePace {
+// enginePaceReport returns the speeds of backend servers for operators.
+func enginePaceReport(engines []gate.EnginePace) []*peeringpb.EnginePace {
 	report := make([]*peeringpb.EnginePace, 0, len(engines))
 	for _, engine := range engines {
 		report = append(report, &peeringpb.EnginePace{
--- a/internal/peering/paces_test.go
+++ b/internal/peering/paces_test.go
@@ -19,15 +19,15 @@
 	"github.com/bluebellchute/bluebellchute/internal/peering/peeringpb"
 )
 
-// seenAt is what a router has seen of an engine that usually works at 0.55.
-func seenAt(now boottime.Instant, newest float64) map[uint32]pace.Observation {
-	return map[uint32]pace.Observation{theEngine: {
+// observedPaces is what a router has observed of an engine whose usual work time is 0.55.
+func observedPaces(now boottime.Instant, newest float64) map[uint32]pace.Observation {
+	return map[uint32]pace.Observation{sharedEngine: {
 		Usual: 0.55, Now: newest, NowAt: now, ReadTokens: 32_000, ReadSeconds: 2, Streams: 40, Late: 10,
 	}}
 }
 
-// Guards against paces that get lost or change on their way.
-func TestPacesArrive(t *testing.T) {
+// Guards against paces that are lost or changed by encoding.
+func TestPacesSurviveEncoding(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := boottime.Now()
 		seen := make(map[uint32]pace.Observation)
@@ -43,31 +43,31 @@
 				Late:        rapid.Float64Range(0, 1000).Draw(t, "late"),
 			}
 		}
-		own := ownPaces(seen, now)
+		own := splitPaces(seen, now)
 		arrived := decodePaces(encodePaces(own.usual), encodeSlowed(own, now), now)
 		if len(arrived.usual) != len(seen) {
 			t.Fatalf("%d of %d servers arrive", len(arrived.usual), len(seen))
 		}
 		for server, sent := range seen {
 			got := arrived.usual[server]
-			if math.Abs(got.Usual-sent.Usual) > 0.0051 || math.Abs(got.ReadTokens-sent.ReadTokens) > loadUnit ||
+			if math.Abs(got.Usual-sent.Usual) > 0.0051 || math.Abs(got.ReadTokens-sent.ReadTokens) > tokensPerLoadUnit ||
 				math.Abs(got.ReadSeconds-sent.ReadSeconds) > 0.001 || math.Abs(got.Streams-sent.Streams) > 0.1 || math.Abs(got.Late-sent.Late) > 0.1 {
 				t.Fatalf("%+v arrives as %+v", sent, got)
 			}
-			newest, told := arrived.slowed[server]
-			if told != sent.Slowed(now) {
-				t.Fatalf("%+v is told as slowed: %t", sent, told)
+			newest, reported := arrived.slowed[server]
+			if reported != sent.Slowed(now) {
+				t.Fatalf("%+v is told as slowed: %t", sent, reported)
 			}
-			if told && (math.Abs(newest.Now-sent.Now) > 0.0051 || newest.NowAt.Sub(sent.NowAt).Abs() > time.Millisecond) {
+			if reported && (math.Abs(newest.Now-sent.Now) > 0.0051 || newest.NowAt.Sub(sent.NowAt).Abs() > time.Millisecond) {
 				t.Fatalf("%+v arrives as %+v", sent, newest)
 			}
 		}
 	})
 }
 
-// Guards against a router that ends, or goes by nonsense, because of a datagram of
-// another version or of somebody else.
-func TestBadPacesAreDropped(t *testing.T) {
+// Guards against a crash or invalid values caused by a datagram of another version of the
+// program or from a foreign sender.
+func TestInvalidPacesAreDropped(t *testing.T) {
 	now := boottime.Now()
 	usual := &peeringpb.Paces{Backend: []uint32{1, 2, 3}, Usual: []uint32{0, 50, 60}, ReadTokens: []uint32{1, 1}, ReadMs: []uint32{1, 1, 1}, Streams: []uint32{1, 1}, Late: []uint32{1, 1}}
 	slowed := &peeringpb.Slowed{Backend: []uint32{1, 2, 3}, Now: []uint32{150, math.MaxUint32}, AgeMs: []uint32{math.MaxUint32, 1, 1}}
@@ -80,19 +80,19 @@
 	}
 }
 
-// Guards against routers of large zones, or of other zones, that never hear of an
-// engine's pace: those that have their turn in rounds without paces.
-func TestAllHearOfPaces(t *testing.T) {
+// Guards against routers in large zones or in other zones that never receive an engine's
+// pace because their turns fall into rounds without paces.
+func TestPacesReachAllRouters(t *testing.T) {
 	for _, size := range []struct{ zones, perZone int }{{1, 5}, {3, 2}, {3, 8}, {5, 14}, {1, 40}, {2, 33}} {
 		t.Run(fmt.Sprintf("%d zones of %d", size.zones, size.perZone), func(t *testing.T) {
-			f := newFabric(t, size.zones, size.perZone)
-			f.play(settled)
-			const teller = "10.0.0.2:1"
-			f.locals[teller].paces = seenAt(f.now, 0.55)
-			f.play(3 * paceCycles * zoneTurns(size.perZone))
+			f := newSimNetwork(t, size.zones, size.perZone)
+			f.run(settleRounds)
+			const reporter = "10.0.0.2:1"
+			f.locals[reporter].paces = observedPaces(f.now, 0.55)
+			f.run(3 * cyclesPerPaces * zoneCycleRounds(size.perZone))
 			for address, router := range f.routers {
-				got := router.Paces(f.now)[theEngine]
-				if address != teller && (got.Usual != 0.55 || got.Streams == 0) {
+				got := router.Paces(f.now)[sharedEngine]
+				if address != reporter && (got.Usual != 0.55 || got.Streams == 0) {
 					t.Errorf("%s knows %+v", address, got)
 				}
 			}
@@ -100,100 +100,101 @@
 	}
 }
 
-// Guards against a slow phase of which the others hear when it is over.
-func TestSlowedEngineIsToldInEachBeat(t *testing.T) {
-	f := newFabric(t, 3, 8)
-	f.play(settled)
-	const teller = "10.0.1.2:1"
-	f.locals[teller].paces = seenAt(f.now, 0.55)
-	f.play(settled)
-	f.locals[teller].paces = seenAt(f.now.Add(beatInterval), 1.37)
-	f.play(3) // to its zone's summing router, to the others', to the others
+// Guards against a slow phase that other routers learn of only after it is over.
+func TestSlowedEngineIsReportedInEachHeartbeat(t *testing.T) {
+	f := newSimNetwork(t, 3, 8)
+	f.run(settleRounds)
+	const reporter = "10.0.1.2:1"
+	f.locals[reporter].paces = observedPaces(f.now, 0.55)
+	f.run(settleRounds)
+	f.locals[reporter].paces = observedPaces(f.now.Add(heartbeatInterval), 1.37)
+	f.run(3) // to the zone's aggregator, to the other aggregators, to all routers
 	for address, router := range f.routers {
-		got := router.Paces(f.now)[theEngine]
-		if address != teller && got.Current(f.now) != 1.37 {
+		got := router.Paces(f.now)[sharedEngine]
+		if address != reporter && got.Current(f.now) != 1.37 {
 			t.Errorf("%s knows %+v", address, got)
 		}
 	}
-	f.locals[teller].paces = seenAt(f.now, 0.55)
-	f.play(3)
+	f.locals[reporter].paces = observedPaces(f.now, 0.55)
+	f.run(3)
 	for address, router := range f.routers {
-		if got := router.Paces(f.now)[theEngine]; address != teller && got.Current(f.now) != 0 {
+		if got := router.Paces(f.now)[sharedEngine]; address != reporter && got.Current(f.now) != 0 {
 			t.Errorf("%s knows %+v after the slow phase", address, got)
 		}
 	}
 }
 
-// Guards against sums that grow with each router that hands them on.
-func TestPacesCountOnce(t *testing.T) {
+// Guards against sums that grow with each router that forwards them.
+func TestPacesAreCountedOnce(t *testing.T) {
 	const streams = 40
-	f := newFabric(t, 3, 8)
+	f := newSimNetwork(t, 3, 8)
 	for _, local := range f.locals {
-		local.paces = seenAt(f.now, 0.55)
+		local.paces = observedPaces(f.now, 0.55)
 	}
-	f.play(2 * settled)
+	f.run(2 * settleRounds)
 	want := float64(streams * (len(f.routers) - 1))
 	for address, router := range f.routers {
-		// The sums decay between two rounds with paces, of which they pass three.
-		if got := router.Paces(f.now)[theEngine].Streams; got > want || got < 0.8*want {
+		// The sums decay between two rounds with paces, and pass through three routers.
+		if got := router.Paces(f.now)[sharedEngine].Streams; got > want || got < 0.8*want {
 			t.Errorf("%s knows of %v streams of others, there are %v", address, got, want)
 		}
 	}
 }
 
-// pacedBeat is a beat of router a with what it has seen.
-func pacedBeat(incarnation uint64, clock int64, seen map[uint32]pace.Observation, now boottime.Instant) *peeringpb.Beat {
-	beat := beatOf("a", incarnation, clock)
-	beat.Paces, beat.Slowed = ownPaces(seen, now).carry(seen != nil, now)
+// heartbeatWithPaces returns a heartbeat of router a with its observations.
+func heartbeatWithPaces(incarnation uint64, clock int64, observed map[uint32]pace.Observation, now boottime.Instant) *peeringpb.Beat {
+	beat := newHeartbeat("a", incarnation, clock)
+	beat.Paces, beat.Slowed = splitPaces(observed, now).encode(observed != nil, now)
 	return beat
 }
 
-// Guards against figures that outlive those who told them, and against ones that vanish
-// with the next beat, as most beats carry none.
-func TestToldPacesAreKeptUntilTheirRouterGoes(t *testing.T) {
+// Guards against paces that outlive the router that reported them, and against ones that
+// vanish with the next heartbeat, as most heartbeats carry none.
+func TestReportedPacesAreKeptUntilTheirRouterExpires(t *testing.T) {
 	now := boottime.Now()
 	table := newTable(self, "")
-	table.take(pacedBeat(1, 1, seenAt(now, 1.37), now), now)
-	if got := table.Paces(now)[theEngine]; got.Usual != 0.55 || got.Current(now) != 1.37 {
+	table.applyHeartbeat(heartbeatWithPaces(1, 1, observedPaces(now, 1.37), now), now)
+	if got := table.Paces(now)[sharedEngine]; got.Usual != 0.55 || got.Current(now) != 1.37 {
 		t.Errorf("%+v is told", got)
 	}
-	table.take(pacedBeat(1, 2, nil, now), now)
-	if got := table.Paces(now)[theEngine]; got.Usual != 0.55 || got.Current(now) != 0 {
+	table.applyHeartbeat(heartbeatWithPaces(1, 2, nil, now), now)
+	if got := table.Paces(now)[sharedEngine]; got.Usual != 0.55 || got.Current(now) != 0 {
 		t.Errorf("%+v after a beat without paces", got)
 	}
-	table.take(pacedBeat(1, 1, seenAt(now, 1.37), now), now) // out of order
-	if got := table.Paces(now)[theEngine]; got.Current(now) != 0 {
+	table.applyHeartbeat(heartbeatWithPaces(1, 1, observedPaces(now, 1.37), now), now) // out of order
+	if got := table.Paces(now)[sharedEngine]; got.Current(now) != 0 {
 		t.Errorf("%+v after a late beat", got)
 	}
-	later := now.Add(heardLife)
+	later := now.Add(minPeerTimeout)
 	if got := table.Paces(later); got != nil {
 		t.Errorf("%+v of a router that is not heard", got)
 	}
-	table.take(pacedBeat(2, 1, nil, now), now)
+	table.applyHeartbeat(heartbeatWithPaces(2, 1, nil, now), now)
 	if got := table.Paces(now); got != nil {
 		t.Errorf("%+v of a router that has started again", got)
 	}
 }
 
-// Guards against figures that count for good while a router goes on without telling any.
-func TestToldPacesAge(t *testing.T) {
+// Guards against paces that count permanently while their router sends heartbeats without
+// any.
+func TestReportedPacesExpire(t *testing.T) {
 	now := boottime.Now()
 	table := newTable(self, "")
-	table.take(pacedBeat(1, 1, seenAt(now, 0.55), now), now)
+	table.applyHeartbeat(heartbeatWithPaces(1, 1, observedPaces(now, 0.55), now), now)
 	for clock := int64(2); clock < 2+int64(pace.MaxAge/time.Second); clock++ {
 		now = now.Add(time.Second)
-		table.take(pacedBeat(1, clock, nil, now), now)
+		table.applyHeartbeat(heartbeatWithPaces(1, clock, nil, now), now)
 	}
 	if got := table.Paces(now); got != nil {
 		t.Errorf("%+v after %v", got, pace.MaxAge)
 	}
 }
 
-// Guards against beats that grow in deployments whose servers tell no work times.
+// Guards against larger heartbeats in deployments whose servers report no work times.
 func TestNothingIsSentWhileNoPaceIsKnown(t *testing.T) {
-	f := newFabric(t, 3, 8)
-	beats := 0
-	f.arrived = func(data []byte, _ *Manager) {
+	f := newSimNetwork(t, 3, 8)
+	heartbeats := 0
+	f.onData = func(data []byte, _ *Manager) {
 		var beat peeringpb.Beat
 		if err := proto.Unmarshal(data, &beat); err != nil {
 			t.Fatal(err)
@@ -205,15 +206,15 @@
 		if size := proto.Size(&beat); size != len(data) {
 			t.Fatalf("%d bytes, %d without paces", len(data), size)
 		}
-		beats++
+		heartbeats++
 	}
-	f.play(settled)
-	if beats == 0 {
+	f.run(settleRounds)
+	if heartbeats == 0 {
 		t.Error("no beat arrived")
 	}
 }
 
-// statusLocal is a router that knows of one engine.
+// statusLocal is a router that knows one engine.
 type statusLocal struct{ fakeLocal }
 
 func (*statusLocal) Status() gate.Status {
@@ -223,8 +224,8 @@
 	}}}
 }
 
-// Guards against operators that see nothing of paces, or figures of the wrong field.
-func TestStatusTellsPaces(t *testing.T) {
+// Guards against a status without paces, or with values in the wrong fields.
+func TestStatusReportsPaces(t *testing.T) {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	manager := NewManager(Options{Address: fleet.Address(self), State: knowledge.NewState(), Logger: logger})
@@ -239,26 +240,26 @@
 	}
 }
 
-// reportingZone is a table that hears so many routers of its zone, each of which
-// reports on all engines.
-func reportingZone(routers, engines int, now boottime.Instant) *table {
+// tableOfZone returns a table with the given number of reachable routers of its zone,
+// each of which has reported on all engines.
+func tableOfZone(routers, engines int, now boottime.Instant) *table {
 	t := newTable("10.0.0.1:1", "a")
 	for i := range routers {
 		usual := make(map[uint32]pace.Observation, engines)
 		for engine := range engines {
 			usual[uint32(engine)*2654435761] = pace.Observation{Usual: 1, ReadTokens: 100, ReadSeconds: 1, Streams: 3}
 		}
-		reported := use{paces: paces{usual: usual, at: now.Add(-time.Second)}, at: now}
-		t.peers[fleet.Address(fmt.Sprint("10.0.0.2:", i))] = &peer{zone: "a", heard: now, use: reported}
+		reported := usage{paces: paces{usual: usual, usualAt: now.Add(-time.Second)}, at: now}
+		t.peers[fleet.Address(fmt.Sprint("10.0.0.2:", i))] = &peer{zone: "a", lastHeartbeat: now, usage: reported}
 	}
 	return t
 }
 
-// Guards against requests that wait for the load of an engine while what all routers
-// reported of paces is merged.
+// Guards against requests that wait for the load of an engine while the paces of all
+// routers are merged.
 func TestLoadsCanBeReadWhilePacesAreMerged(t *testing.T) {
 	now := boottime.Now()
-	table := reportingZone(100, 600, now)
+	table := tableOfZone(100, 600, now)
 	merged := make(chan struct{})
 	go func() {
 		defer close(merged)
@@ -266,8 +267,8 @@
 			table.Paces(now)
 		}
 	}()
-	looks, blocked := 0, 0
-	for done := false; !done; looks++ {
+	attempts, blocked := 0, 0
+	for done := false; !done; attempts++ {
 		select {
 		case <-merged:
 			done = true
@@ -279,22 +280,22 @@
 		}
 		table.mu.Unlock()
 	}
-	if blocked > looks/2 {
-		t.Errorf("the table was locked at %d of %d looks", blocked, looks)
+	if blocked > attempts/2 {
+		t.Errorf("the table was locked at %d of %d looks", blocked, attempts)
 	}
 }
 
-// Guards against paces of other zones that vanish between two additions, or that are added
-// up again with each beat.
-func TestUsualWorkTimesOfOtherZonesAreAddedUpOnceASecond(t *testing.T) {
+// Guards against paces of other zones that vanish between two merges, or that are merged
+// again with each heartbeat.
+func TestUsualWorkTimesOfOtherZonesAreMergedOncePerSecond(t *testing.T) {
 	const server = 7
 	now := boottime.Now()
 	table := newTable(self, "home")
-	tell := func(usual float64, at boottime.Instant) float64 {
-		told := newUse(at)
-		told.paces.usual[server] = pace.Observation{Usual: usual}
-		table.told["other"] = &sums{use: told, zones: []fleet.Zone{"away"}}
-		table.refreshOthers(at)
+	report := func(usual float64, at boottime.Instant) float64 {
+		reported := newUsage(at)
+		reported.paces.usual[server] = pace.Observation{Usual: usual}
+		table.aggregates["other"] = &aggregate{usage: reported, zones: []fleet.Zone{"away"}}
+		table.refreshOtherZones(at)
 		return table.Paces(at)[server].Usual
 	}
 	for _, step := range []struct {
@@ -302,18 +303,18 @@
 		tells, want float64
 	}{
 		{0, 2, 2},
-		{beatInterval, 3, 2},
-		{usualInterval, 3, 3},
+		{heartbeatInterval, 3, 2},
+		{usualMergeInterval, 3, 3},
 	} {
-		if got := tell(step.tells, now.Add(step.after)); got != step.want {
+		if got := report(step.tells, now.Add(step.after)); got != step.want {
 			t.Errorf("after %v: %v, want %v", step.after, got, step.want)
 		}
 	}
 }
 
-// Guards against figures that are too old to count before they are told again, in zones
-// with hundreds of routers.
-func TestPacesAreToldAgainBeforeTheyAreTooOld(t *testing.T) {
+// Guards against paces that expire before they are sent again, in zones with hundreds of
+// routers.
+func TestPacesAreSentAgainBeforeTheyExpire(t *testing.T) {
 	table := newTable(self, "home")
 	for _, turns := range []int{1, 5, 10, 20, 60, 150} {
 		last, longest := -1, 0
@@ -326,7 +327,7 @@
 			}
 			last = round
 		}
-		if gap := time.Duration(longest) * beatInterval; longest == 0 || gap > pace.MaxAge*3/4 {
+		if gap := time.Duration(longest) * heartbeatInterval; longest == 0 || gap > pace.MaxAge*3/4 {
 			t.Errorf("%d turns: told every %v, counts for %v", turns, gap, pace.MaxAge)
 		}
 	}
--- a/internal/peering/peer_records_test.go
+++ b/internal/peering/peer_log_test.go
@@ -12,20 +12,21 @@
 	"github.com/bluebellchute/bluebellchute/internal/fleet"
 )
 
-// Guards against logs that grow with the square of the fleet when all start at once.
-func TestRecordsOfRoutersAreGathered(t *testing.T) {
+// Guards against logs that grow with the square of the fleet when all routers start
+// together.
+func TestRouterChangesAreLoggedInBatches(t *testing.T) {
 	var logs strings.Builder
 	logger := logrus.New()
 	logger.SetOutput(&logs)
-	records := &peerRecords{logger: logger}
+	records := &peerLog{logger: logger}
 	now := boottime.Now()
 	for second := range 3 {
 		for i := range 120 {
-			records.noteHeard(fleet.Address(fmt.Sprintf("10.0.%d.%d:1", second, i)))
+			records.addReachable(fleet.Address(fmt.Sprintf("10.0.%d.%d:1", second, i)))
 			records.log(now.Add(time.Duration(second)*time.Second + time.Duration(i)*time.Millisecond))
 		}
 	}
-	records.noteLost("10.0.0.1:1")
+	records.addLost("10.0.0.1:1")
 	records.log(now.Add(time.Minute))
 	lines := strings.Count(logs.String(), "\n")
 	if lines > 5 || !strings.Contains(logs.String(), "no longer heard") || !strings.Contains(logs.String(), "count=119") {
--- a/internal/peering/peering_test.go
+++ b/internal/peering/peering_test.go
@@ -23,13 +23,13 @@
 
 const self = "10.0.0.1:1"
 
-// loadAt is a load at one backend server.
-type loadAt struct {
+// backendLoad is a load at one backend server.
+type backendLoad struct {
 	backend uint32
 	load    gate.BackendLoad
 }
 
-func beatOf(address string, incarnation uint64, clock int64, loads ...loadAt) *peeringpb.Beat {
+func newHeartbeat(address string, incarnation uint64, clock int64, loads ...backendLoad) *peeringpb.Beat {
 	byBackend := make(map[uint32]gate.BackendLoad)
 	for _, at := range loads {
 		byBackend[at.backend] = at.load
@@ -37,19 +37,19 @@
 	return &peeringpb.Beat{Address: address, Incarnation: incarnation, Clock: clock, Loads: encodeLoads(byBackend)}
 }
 
-func echoOf(clock int64) *peeringpb.Echoes {
-	return &peeringpb.Echoes{Router: []uint64{hashOf("other"), hashOf(self)}, Clock: []int64{clock + 1, clock}}
+func newEchoes(clock int64) *peeringpb.Echoes {
+	return &peeringpb.Echoes{Router: []uint64{addressHash("other"), addressHash(self)}, Clock: []int64{clock + 1, clock}}
 }
 
-func loadOf(id string, running int, pending float64) loadAt {
-	return loadAt{backend: knowledge.IncarnationHash(id), load: gate.BackendLoad{Running: running, Pending: pending}}
+func loadOfBackend(id string, running int, pending float64) backendLoad {
+	return backendLoad{backend: knowledge.IncarnationHash(id), load: gate.BackendLoad{Running: running, Pending: pending}}
 }
 
-// Whatever is told arrives, rounded up by less than a unit.
+// Decoded loads and usages equal the encoded ones, but for rounding by less than a unit.
 func TestLoadsAndUsesArrive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		loads := make(map[uint32]gate.BackendLoad)
-		uses := make(map[fleet.Account]shares.Usage)
+		usages := make(map[fleet.Account]shares.Usage)
 		for range rapid.IntRange(0, 9).Draw(t, "count") {
 			loads[rapid.Uint32().Draw(t, "backend")] = gate.BackendLoad{
 				Running: rapid.IntRange(0, 1000).Draw(t, "running"),
@@ -57,69 +57,67 @@
 				Memory:  rapid.Float64Range(0, 1e6).Draw(t, "memory"),
 			}
 			account := fleet.Account(rapid.StringMatching("[a-z]{1,6}").Draw(t, "account"))
-			uses[account] = shares.Usage{Requested: rapid.Float64Range(0, 1e7).Draw(t, "asked"), Granted: rapid.Float64Range(0, 1e7).Draw(t, "got"), Idle: rapid.Float64Range(0, 1e7).Draw(t, "idle")}
+			usages[account] = shares.Usage{Requested: rapid.Float64Range(0, 1e7).Draw(t, "asked"), Granted: rapid.Float64Range(0, 1e7).Draw(t, "got"), Idle: rapid.Float64Range(0, 1e7).Draw(t, "idle")}
 		}
 		arrived := decodeLoads(encodeLoads(loads))
 		for backend, load := range loads {
 			got := arrived[backend]
-			if got.Running != load.Running || got.Pending < load.Pending || got.Pending-load.Pending > loadUnit || got.Memory < load.Memory {
+			if got.Running != load.Running || got.Pending < load.Pending || got.Pending-load.Pending > tokensPerLoadUnit || got.Memory < load.Memory {
 				t.Fatalf("%+v arrives as %+v", load, got)
 			}
 		}
-		for account, use := range uses {
-			if got := decodeUses(encodeUses(uses))[account]; use.Requested-got.Requested >= 1 || use.Granted-got.Granted >= 1 || use.Idle-got.Idle >= 1 {
-				t.Fatalf("%+v arrives as %+v", use, got)
+		for account, usage := range usages {
+			if got := decodeUsages(encodeUsages(usages))[account]; usage.Requested-got.Requested >= 1 || usage.Granted-got.Granted >= 1 || usage.Idle-got.Idle >= 1 {
+				t.Fatalf("%+v arrives as %+v", usage, got)
 			}
 		}
 	})
 }
 
-// Symptom: a router ends by itself.
-// Events: a datagram of another version, or of somebody else, has lists of
-// different lengths.
-// Cause: an index beyond one of them.
-func TestListsOfDifferentLengthsAreCut(t *testing.T) {
+// Guards against a crash by an index out of range. A datagram of another version of the
+// program, or from a foreign sender, may have lists of different lengths.
+func TestListsOfDifferentLengthsAreTruncated(t *testing.T) {
 	loads := decodeLoads(&peeringpb.Loads{Backend: []uint32{1, 2}, Running: []uint32{1}, Pending: []uint32{1, 1}, Memory: []uint32{1}})
-	uses := decodeUses(&peeringpb.AccountUses{Account: []string{"a", "b"}, Asked: []uint64{1, 2}})
-	beat := &peeringpb.Beat{Echoes: &peeringpb.Echoes{Router: []uint64{hashOf(self)}}}
-	if len(loads) != 1 || len(uses) != 0 || echoIn(beat, self) != 0 {
-		t.Errorf("%v, %v, echo %d", loads, uses, echoIn(beat, self))
+	usages := decodeUsages(&peeringpb.AccountUses{Account: []string{"a", "b"}, Asked: []uint64{1, 2}})
+	beat := &peeringpb.Beat{Echoes: &peeringpb.Echoes{Router: []uint64{addressHash(self)}}}
+	if len(loads) != 1 || len(usages) != 0 || echoedClock(beat, self) != 0 {
+		t.Errorf("%v, %v, echo %d", loads, usages, echoedClock(beat, self))
 	}
 }
 
-// Bytes of a beat among 24 routers with 45 backend servers and 16 accounts: 1,564
-// with a message for each load, use and echo and 64-bit names of backend servers,
-// 827 with packed lists. What this router has seen of 43 engines, which one beat in five
-// carries, makes 845 into 1,378, and five slowed ones add 44.
+// A heartbeat among 24 routers with 45 backend servers and 16 accounts has 1,564 bytes
+// with a message for each load, usage and echo and 64-bit hashes of backend servers, and
+// 827 bytes with packed lists. Observations of 43 engines, which one heartbeat in five
+// carries, increase 845 bytes to 1,378, and five slowed engines add 44.
 func BenchmarkBeatBytes(b *testing.B) {
 	loads := make(map[uint32]gate.BackendLoad)
-	uses := make(map[fleet.Account]shares.Usage)
+	usages := make(map[fleet.Account]shares.Usage)
 	echoes := &peeringpb.Echoes{}
 	for i := range 45 {
 		loads[knowledge.IncarnationHash(fmt.Sprint("i-", i))] = gate.BackendLoad{Running: 3, Pending: 5000, Memory: 30_000}
 	}
 	for i := range 16 {
-		uses[fleet.Account(fmt.Sprint("acct", i))] = shares.Usage{Requested: 40_000, Granted: 20_000}
+		usages[fleet.Account(fmt.Sprint("acct", i))] = shares.Usage{Requested: 40_000, Granted: 20_000}
 	}
 	for i := range 10 {
 		echoes.Router, echoes.Clock = append(echoes.Router, uint64(i)<<40), append(echoes.Clock, int64(boottime.Now()))
 	}
-	for _, tell := range []struct {
+	for _, variant := range []struct {
 		name        string
 		slowed, due bool
 	}{{"no paces", false, false}, {"paces", false, true}, {"slowed", true, false}, {"paces and slowed", true, true}} {
-		b.Run(tell.name, func(b *testing.B) {
+		b.Run(variant.name, func(b *testing.B) {
 			now := boottime.Now()
 			seen := make(map[uint32]pace.Observation)
-			if tell.due || tell.slowed {
-				seen = enginePaces(43, tell.slowed, now)
+			if variant.due || variant.slowed {
+				seen = fakeEnginePaces(43, variant.slowed, now)
 			}
-			own := ownPaces(seen, now)
+			own := splitPaces(seen, now)
 			size := 0
 			for b.Loop() {
 				beat := &peeringpb.Beat{Address: self, Incarnation: 1 << 60, Clock: int64(now), Version: 7, Digest: 1 << 60,
-					Echoes: echoes, Uses: encodeUses(uses), Loads: encodeLoads(loads)}
-				beat.Paces, beat.Slowed = own.carry(tell.due, now)
+					Echoes: echoes, Uses: encodeUsages(usages), Loads: encodeLoads(loads)}
+				beat.Paces, beat.Slowed = own.encode(variant.due, now)
 				data, err := proto.Marshal(beat)
 				if err != nil {
 					b.Fatal(err)
@@ -131,9 +129,9 @@
 	}
 }
 
-// enginePaces are what a router has seen of so many engines, of which a tenth is in a slow
-// phase if some are slowed.
-func enginePaces(engines int, slowed bool, now boottime.Instant) map[uint32]pace.Observation {
+// fakeEnginePaces returns observations of the given number of engines. With slowed set, a
+// tenth of them is in a slow phase.
+func fakeEnginePaces(engines int, slowed bool, now boottime.Instant) map[uint32]pace.Observation {
 	seen := make(map[uint32]pace.Observation, engines)
 	for i := range engines {
 		observation := pace.Observation{Usual: 1.2, Now: 1.2, NowAt: now, ReadTokens: 30_000, ReadSeconds: 4.2, Streams: 22, Late: 3}
@@ -148,23 +146,23 @@
 func TestLoadsAreSummedAndReplaced(t *testing.T) {
 	now := boottime.Now()
 	table := newTable(self, "")
-	table.take(beatOf("a", 1, 1, loadOf("i", 3, 96)), now)
-	table.take(beatOf("b", 1, 1, loadOf("i", 2, 48)), now)
+	table.applyHeartbeat(newHeartbeat("a", 1, 1, loadOfBackend("i", 3, 96)), now)
+	table.applyHeartbeat(newHeartbeat("b", 1, 1, loadOfBackend("i", 2, 48)), now)
 	if got := table.Load(knowledge.IncarnationHash("i")); got.Running != 5 || got.Pending != 144 {
 		t.Errorf("%+v of two routers", got)
 	}
-	table.take(beatOf("a", 1, 2, loadOf("j", 1, 1)), now)
+	table.applyHeartbeat(newHeartbeat("a", 1, 2, loadOfBackend("j", 1, 1)), now)
 	if got := table.Load(knowledge.IncarnationHash("i")); got.Running != 2 || got.Pending != 48 {
 		t.Errorf("%+v after one has none", got)
 	}
 }
 
-func TestLateBeatIsIgnored(t *testing.T) {
+func TestOutOfOrderHeartbeatIsIgnored(t *testing.T) {
 	now := boottime.Now()
 	table := newTable(self, "")
-	table.take(beatOf("a", 2, 10, loadOf("i", 3, 0)), now)
-	for _, late := range []*peeringpb.Beat{beatOf("a", 2, 9), beatOf("a", 1, 99), beatOf(self, 1, 1)} {
-		if taken, _ := table.take(late, now); taken {
+	table.applyHeartbeat(newHeartbeat("a", 2, 10, loadOfBackend("i", 3, 0)), now)
+	for _, late := range []*peeringpb.Beat{newHeartbeat("a", 2, 9), newHeartbeat("a", 1, 99), newHeartbeat(self, 1, 1)} {
+		if taken, _ := table.applyHeartbeat(late, now); taken {
 			t.Errorf("%v was taken", late)
 		}
 	}
@@ -173,17 +171,16 @@
 	}
 }
 
-// Symptom: requests avoid backend servers that are idle.
-// Events: a router is killed while its requests run.
-// Cause: its last beat counted for good.
-func TestLostRoutersLoadsGo(t *testing.T) {
+// Guards against requests that avoid idle backend servers after a router was killed,
+// because the load of its last heartbeat counted permanently.
+func TestLoadsOfLostRoutersAreRemoved(t *testing.T) {
 	now := boottime.Now()
 	table := newTable(self, "")
-	table.take(beatOf("a", 1, 1, loadOf("i", 3, 100)), now)
-	if lost := table.expire(now.Add(heardLife / 2)); len(lost) != 0 {
+	table.applyHeartbeat(newHeartbeat("a", 1, 1, loadOfBackend("i", 3, 100)), now)
+	if lost := table.expire(now.Add(minPeerTimeout / 2)); len(lost) != 0 {
 		t.Fatalf("lost too early: %v", lost)
 	}
-	if lost := table.expire(now.Add(heardLife)); len(lost) != 1 {
+	if lost := table.expire(now.Add(minPeerTimeout)); len(lost) != 1 {
 		t.Fatalf("lost: %v", lost)
 	}
 	if got := table.Load(knowledge.IncarnationHash("i")); got.Running != 0 {
@@ -191,64 +188,60 @@
 	}
 }
 
-// Symptom: the fleet sends more second sends than its budget allows.
-// Events: routers are cut off from each other.
-// Cause: each took itself for the only one and the whole budget for its own.
-func TestRoutersThatAreCutOffStillCount(t *testing.T) {
+// Guards against more retries than the fleet's budget allows. Routers that are cut off
+// from each other must not each take the whole budget as their own.
+func TestUnreachableRoutersStillCount(t *testing.T) {
 	now := boottime.Now()
 	table := newTable(self, "")
 	for _, address := range []string{"a", "b", "c"} {
-		table.take(beatOf(address, 1, 1), now)
+		table.applyHeartbeat(newHeartbeat(address, 1, 1), now)
 	}
-	table.expire(now.Add(2 * heardLife))
+	table.expire(now.Add(2 * minPeerTimeout))
 	if got := table.Routers(); got != 4 {
 		t.Errorf("%d routers, want 4", got)
 	}
-	table.expire(now.Add(2 * countLife))
+	table.expire(now.Add(2 * routerCountTTL))
 	if got := table.Routers(); got != 1 {
 		t.Errorf("%d routers long after the others went, want 1", got)
 	}
 }
 
-// Symptom: a withdrawn key is taken.
-// Events: a process stands still for seconds; beats wait in its socket; it goes
-// on and reads them.
-// Cause: their ages counted from when they were read, not from when they were
-// sent.
-func TestBeatThatWaitedConfirmsNothingNew(t *testing.T) {
+// Guards against a withdrawn key that is accepted. When a process is suspended for
+// seconds, heartbeats wait in its socket, and their ages must count from when they were
+// sent, not from when they were read.
+func TestDelayedHeartbeatConfirmsOnlyItsSendTime(t *testing.T) {
 	state := knowledge.NewState()
 	old := boottime.Now().Add(-time.Minute)
 	state.SetConfiguration(&knowledge.Configuration{Version: 3}, old)
 	manager := &Manager{options: Options{Address: self, State: state}, started: old}
 	now := boottime.Now()
-	echo := now.Add(-10 * time.Second) // our clock when the peer last heard us
-	manager.confirm(&peeringpb.Beat{Echoes: echoOf(int64(echo)), Version: 3, ConfigAge: int64(time.Second), ListAge: -1}, now)
+	echo := now.Add(-10 * time.Second) // this router's clock when the peer last received it
+	manager.applyConfirmations(&peeringpb.Beat{Echoes: newEchoes(int64(echo)), Version: 3, ConfigAge: int64(time.Second), ListAge: -1}, now)
 	if got, want := state.View().ConfigurationConfirmedAt, echo.Add(-time.Second); got != want {
 		t.Errorf("confirmed %v ago, want %v", now.Sub(got), now.Sub(want))
 	}
 	before := state.View().ConfigurationConfirmedAt
 	for _, beat := range []*peeringpb.Beat{
-		{Echoes: echoOf(0), Version: 3, ConfigAge: 0, ListAge: -1},
-		{Echoes: echoOf(int64(now.Add(time.Hour))), Version: 3, ConfigAge: 0, ListAge: -1},
-		{Echoes: echoOf(int64(old.Add(-time.Hour))), Version: 3, ConfigAge: 0, ListAge: -1},
-		{Echoes: echoOf(int64(now)), Version: 2, ConfigAge: 0, ListAge: -1},
-		{Echoes: echoOf(int64(now)), Version: 3, ConfigAge: -1, ListAge: -1},
+		{Echoes: newEchoes(0), Version: 3, ConfigAge: 0, ListAge: -1},
+		{Echoes: newEchoes(int64(now.Add(time.Hour))), Version: 3, ConfigAge: 0, ListAge: -1},
+		{Echoes: newEchoes(int64(old.Add(-time.Hour))), Version: 3, ConfigAge: 0, ListAge: -1},
+		{Echoes: newEchoes(int64(now)), Version: 2, ConfigAge: 0, ListAge: -1},
+		{Echoes: newEchoes(int64(now)), Version: 3, ConfigAge: -1, ListAge: -1},
 	} {
-		manager.confirm(beat, now)
+		manager.applyConfirmations(beat, now)
 		if got := state.View().ConfigurationConfirmedAt; got != before {
 			t.Errorf("%v confirmed the configuration", beat)
 		}
 	}
 }
 
-// Symptom: a cold backend server gets what two fleets may send.
-// Events: a fleet is cut in two; each half hears only its own routers.
-// Cause: routers that were no longer heard did not count.
-func TestSilentRoutersKeepTheirPartOfColdServers(t *testing.T) {
+// Guards against a cold backend server that gets the load of two fleets. When a fleet is
+// partitioned, routers that have become unreachable must still count.
+func TestUnreachableRoutersKeepTheirShareOfColdServers(t *testing.T) {
 	table := newTable(self, "")
 	now := boottime.Now()
 	for i := range 9 {
-		table.take(beatOf(fmt.Sprintf("10.0.1.%d:1", i), 1, 1), now)
+		table.applyHeartbeat(newHeartbeat(fmt.Sprintf("10.0.1.%d:1", i), 1, 1), now)
 	}
 	before, known := table.Order(77)
 	table.expire(now.Add(time.Minute))
@@ -257,8 +250,8 @@
 	}
 }
 
-// Each of the routers has another place in the order of a backend server, and the first
-// ones differ from server to server.
+// Each router has a different place in the order for a backend server, and the first
+// router differs from server to server.
 func TestOrderOfRoutersDiffersByKey(t *testing.T) {
 	addresses := make([]fleet.Address, 8)
 	for i := range addresses {
@@ -287,16 +280,15 @@
 	}
 }
 
-// Symptom: a cold backend server gets requests of all routers that have just started.
-// Events: a router starts and knows nobody yet, so all of the bound seems its own.
-// Cause: it did not wait until it had heard of the others.
+// Guards against requests of all recently started routers to a cold backend server. A
+// router that does not know the others yet would take the whole limit as its own.
 func TestStartingRouterLeavesColdServersToOthers(t *testing.T) {
 	manager := NewManager(Options{Address: self, State: knowledge.NewState(), Logger: logrus.New()})
-	manager.take(beatOf("10.0.0.2:1", 1, 1), boottime.Now())
+	manager.applyHeartbeat(newHeartbeat("10.0.0.2:1", 1, 1), boottime.Now())
 	if manager.Settled() {
 		t.Error("settled at its start")
 	}
-	manager.started = boottime.Now().Add(-settleTime)
+	manager.started = boottime.Now().Add(-settlePeriod)
 	if !manager.Settled() {
 		t.Error("not settled though it hears another router")
 	}
@@ -304,13 +296,13 @@
 	if manager.Settled() {
 		t.Error("settled though it hears nobody and has not seen the directory")
 	}
-	manager.looked.Store(true)
+	manager.directoryRead.Store(true)
 	if !manager.Settled() {
 		t.Error("a single router never settles")
 	}
 }
 
-func TestSilentAddressesAreForgotten(t *testing.T) {
+func TestUnreachableAddressesAreForgotten(t *testing.T) {
 	now := boottime.Now()
 	table := newTable(self, "")
 	if table.add(self, "", now) || !table.add("a", "", now) || table.add("a", "", now) {
@@ -319,16 +311,15 @@
 	if got := len(table.targets(now)); got != 1 {
 		t.Errorf("%d targets", got)
 	}
-	if got := len(table.targets(now.Add(2 * addressLife))); got != 0 {
+	if got := len(table.targets(now.Add(2 * addressTTL))); got != 0 {
 		t.Errorf("%d targets after a long silence", got)
 	}
 }
 
-// Symptom: in a large fleet routers take each other for lost, and each uses the
-// whole fleet's budgets.
-// Events: there are more routers than a round of beats reaches.
-// Cause: a router counted as heard for a fixed time.
-func TestRoutersOfALargeFleetAreHeard(t *testing.T) {
+// Guards against routers of a large fleet that take each other for lost and each use the
+// whole fleet's budgets, because more routers exist than a round of heartbeats reaches
+// and the timeout did not grow with them.
+func TestRoutersOfALargeFleetStayReachable(t *testing.T) {
 	const size = 350
 	now := boottime.Now()
 	table := newTable(self, "here")
@@ -336,13 +327,13 @@
 	for i := range size {
 		address := fmt.Sprintf("10.0.%d.%d:1", i/250, i%250)
 		targets = append(targets, fleet.Address(address))
-		table.take(beatOf(address, 1, 1), now)
+		table.applyHeartbeat(newHeartbeat(address, 1, 1), now)
 	}
 	reached := make(map[fleet.Address]int)
-	turns := rounds(size, farBeats)
+	turns := roundsPerCycle(size, maxRemoteHeartbeats)
 	for round := range turns {
-		chosen := turn(targets, round, farBeats)
-		if len(chosen) > farBeats {
+		chosen := targetsOfRound(targets, round, maxRemoteHeartbeats)
+		if len(chosen) > maxRemoteHeartbeats {
 			t.Fatalf("%d beats in a round", len(chosen))
 		}
 		for _, address := range chosen {
@@ -352,82 +343,81 @@
 	if len(reached) != size {
 		t.Errorf("%d of %d routers had a turn", len(reached), size)
 	}
-	later := now.Add(time.Duration(2*turns) * beatInterval)
+	later := now.Add(time.Duration(2*turns) * heartbeatInterval)
 	if lost := table.expire(later); len(lost) != 0 {
 		t.Errorf("%d routers are lost after two missed beats", len(lost))
 	}
 }
 
-// Symptom: the store's calls grow with the fleet, or nobody hears of changes.
-// Events: a large fleet; those that follow the store are lost.
-// Cause: every router followed it, or a fixed few did.
-func TestSomeRoutersFollowTheStore(t *testing.T) {
+// Guards against store calls that grow with the fleet because all routers watch the
+// store, and against changes that nobody notices because the few that watch it have
+// failed.
+func TestSomeRoutersWatchTheStore(t *testing.T) {
 	const fleetSize = 40
 	tables := make([]*table, fleetSize)
 	for i := range tables {
 		tables[i] = newTable(fleet.Address(fmt.Sprintf("10.0.0.%d:1", i+1)), "")
 	}
 	now := boottime.Now()
-	hear := func(alive []*table) (following []*table) {
-		for _, hearing := range alive {
-			for address := range hearing.peers {
-				delete(hearing.peers, address)
+	connect := func(alive []*table) (watching []*table) {
+		for _, receiver := range alive {
+			for address := range receiver.peers {
+				delete(receiver.peers, address)
 			}
-			for _, told := range alive {
-				hearing.take(beatOf(string(told.self), 1, int64(now)), now)
+			for _, sender := range alive {
+				receiver.applyHeartbeat(newHeartbeat(string(sender.self), 1, int64(now)), now)
 			}
-			if hearing.WatchesStore() {
-				following = append(following, hearing)
+			if receiver.WatchesStore() {
+				watching = append(watching, receiver)
 			}
 		}
-		return following
+		return watching
 	}
 	for _, alone := range tables {
 		if !alone.WatchesStore() {
 			t.Fatal("a router that hears nobody does not follow")
 		}
 	}
-	following := hear(tables)
-	if len(following) != followersMost {
-		t.Fatalf("%d of %d routers follow, want %d", len(following), fleetSize, followersMost)
+	watching := connect(tables)
+	if len(watching) != maxWatchers {
+		t.Fatalf("%d of %d routers follow, want %d", len(watching), fleetSize, maxWatchers)
 	}
-	left := slices.DeleteFunc(slices.Clone(tables), func(t *table) bool { return slices.Contains(following, t) })
-	if next := hear(left); len(next) != followersMost {
-		t.Errorf("%d follow after the loss of those that did, want %d", len(next), followersMost)
+	remaining := slices.DeleteFunc(slices.Clone(tables), func(t *table) bool { return slices.Contains(watching, t) })
+	if next := connect(remaining); len(next) != maxWatchers {
+		t.Errorf("%d follow after the loss of those that did, want %d", len(next), maxWatchers)
 	}
 }
 
-// Symptom: the directory grows with each VM that is replaced.
-// Events: routers end for good.
-// Cause: nobody removed their entries.
-func TestEntriesOfRoutersThatAreGone(t *testing.T) {
+// Guards against a directory that grows with each replaced VM because nobody removes the
+// entries of routers that have ended.
+func TestEntriesOfLostRoutersExpire(t *testing.T) {
 	now := boottime.Now()
 	table := newTable(self, "")
-	table.take(beatOf("alive", 1, 1), now)
+	table.applyHeartbeat(newHeartbeat("alive", 1, 1), now)
 	entries := []fleet.Address{self, "alive", "gone"}
-	if got := table.gone(entries, now); len(got) != 0 {
+	if got := table.expiredEntries(entries, now); len(got) != 0 {
 		t.Errorf("%v may go at once", got)
 	}
-	if got := table.gone(entries, now.Add(entryLife/2)); len(got) != 0 {
+	if got := table.expiredEntries(entries, now.Add(directoryEntryTTL/2)); len(got) != 0 {
 		t.Errorf("%v may go early", got)
 	}
-	if got := table.gone(entries, now.Add(entryLife+time.Second)); !slices.Equal(got, []fleet.Address{"gone"}) {
+	if got := table.expiredEntries(entries, now.Add(directoryEntryTTL+time.Second)); !slices.Equal(got, []fleet.Address{"gone"}) {
 		t.Errorf("%v may go, want the one that is gone", got)
 	}
-	table.take(beatOf("gone", 1, 1), now)
-	if got := table.gone(entries, now.Add(2*entryLife)); len(got) != 0 {
+	table.applyHeartbeat(newHeartbeat("gone", 1, 1), now)
+	if got := table.expiredEntries(entries, now.Add(2*directoryEntryTTL)); len(got) != 0 {
 		t.Errorf("%v may go though it is heard again", got)
 	}
 }
 
-// fakeDirectory lists what it is told.
+// fakeDirectory returns the listed routers and records registrations and removals.
 type fakeDirectory struct {
-	listed    map[fleet.Address]fleet.Zone
-	announced int
-	removed   []fleet.Address
+	listed        map[fleet.Address]fleet.Zone
+	registrations int
+	removed       []fleet.Address
 }
 
-func (d *fakeDirectory) Register(context.Context, fleet.Address) error { d.announced++; return nil }
+func (d *fakeDirectory) Register(context.Context, fleet.Address) error { d.registrations++; return nil }
 func (d *fakeDirectory) Routers(context.Context) (map[fleet.Address]fleet.Zone, error) {
 	return d.listed, nil
 }
@@ -436,69 +426,68 @@
 	return nil
 }
 
-// Symptom: a router stays unknown to new ones.
-// Events: it is cut off for so long that its entry is removed, and comes back.
-// Cause: it registered only once.
+// Guards against a router that new routers cannot find. Its entry is removed while it is
+// unreachable for long, and it must register again.
 func TestRouterWithoutEntryRegistersAgain(t *testing.T) {
 	directory := &fakeDirectory{listed: map[fleet.Address]fleet.Zone{self: "z"}}
 	manager := NewManager(Options{Address: self, Zone: "z", Directory: directory, State: knowledge.NewState(), Logger: logrus.New()})
-	missing := manager.takeDirectory(t.Context(), directory.listed, 2)
+	missing := manager.applyDirectory(t.Context(), directory.listed, 2)
 	if missing != 0 {
 		t.Errorf("%d lists lack a router that is listed", missing)
 	}
-	for range announceAfter {
-		missing = manager.takeDirectory(t.Context(), nil, missing)
+	for range registerAfterMissing {
+		missing = manager.applyDirectory(t.Context(), nil, missing)
 	}
-	if missing < announceAfter {
+	if missing < registerAfterMissing {
 		t.Errorf("a router that is not listed does not register again after %d lists", missing)
 	}
 }
 
-// Guards against two writes for each router when a whole fleet starts again: one that
-// finds the entry of its VM's last process leaves it as it is, another registers.
+// Guards against two writes per router when a whole fleet restarts: a router that finds
+// the entry of its VM's previous process keeps it, and any other registers once.
 func TestRouterRegistersOnlyWhereItIsMissing(t *testing.T) {
 	for zone, want := range map[fleet.Zone]int{"z": 0, "elsewhere": 1} {
 		directory := &fakeDirectory{listed: map[fleet.Address]fleet.Zone{self: zone}}
 		manager := NewManager(Options{Address: self, Zone: "z", Directory: directory, State: knowledge.NewState(), Logger: logrus.New()})
 		ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 		defer cancel()
-		if err := manager.register(ctx); err != nil {
+		if err := manager.maintainRegistration(ctx); err != nil {
 			t.Fatal(err)
 		}
-		if directory.announced != want {
-			t.Errorf("listed in %s: registered %d times, want %d", zone, directory.announced, want)
+		if directory.registrations != want {
+			t.Errorf("listed in %s: registered %d times, want %d", zone, directory.registrations, want)
 		}
 	}
 }
 
-// A router that has the same list is told its age alone.
+// A router that has the same list receives only its age.
 func TestPullOfTheSameListConfirmsIt(t *testing.T) {
-	told, asking := knowledge.NewState(), knowledge.NewState()
+	source, pulling := knowledge.NewState(), knowledge.NewState()
 	backends := []knowledge.Backend{{ID: "i", Service: "s", Address: "10.0.0.1:1"}}
 	now := boottime.Now()
-	for _, state := range []*knowledge.State{told, asking} {
+	for _, state := range []*knowledge.State{source, pulling} {
 		state.SetConfiguration(&knowledge.Configuration{Version: 1}, now)
 	}
-	told.SetBackends(backends, knowledge.Position{Revision: 7}, now)
-	asking.SetBackends(backends, knowledge.Position{Revision: 7}, now.Add(-time.Second))
-	reply, err := (&server{state: told}).Pull(t.Context(), &peeringpb.PullRequest{Version: 1, Revision: 7})
+	source.SetBackends(backends, knowledge.Position{Revision: 7}, now)
+	pulling.SetBackends(backends, knowledge.Position{Revision: 7}, now.Add(-time.Second))
+	reply, err := (&server{state: source}).Pull(t.Context(), &peeringpb.PullRequest{Version: 1, Revision: 7})
 	if err != nil || len(reply.Backends) != 0 {
 		t.Fatalf("reply with %d bytes of backend servers, error %v", len(reply.Backends), err)
 	}
-	puller := newPuller(asking, "", logrus.New())
+	puller := newPuller(pulling, "", logrus.New())
 	if err := puller.apply(reply, knowledge.Position{}, boottime.Now()); err != nil {
 		t.Fatal(err)
 	}
-	if age := boottime.Now().Sub(asking.View().ListConfirmedAt); age > 500*time.Millisecond {
+	if age := boottime.Now().Sub(pulling.View().ListConfirmedAt); age > 500*time.Millisecond {
 		t.Errorf("the list counts as %v old", age)
 	}
-	reply, err = (&server{state: told}).Pull(t.Context(), &peeringpb.PullRequest{Version: 1, Revision: 6})
+	reply, err = (&server{state: source}).Pull(t.Context(), &peeringpb.PullRequest{Version: 1, Revision: 6})
 	if err != nil || len(reply.Backends) == 0 {
 		t.Errorf("a router with another revision got no list, error %v", err)
 	}
 }
 
-// A list is encoded once for all that ask for it, and anew when it has changed.
+// A list is encoded once for all callers, and again after it has changed.
 func TestListIsEncodedOnce(t *testing.T) {
 	state := knowledge.NewState()
 	server := &server{state: state}
@@ -527,18 +516,17 @@
 	}
 }
 
-// Symptom: a fleet that was killed is not ready for many seconds.
-// Events: all routers call the store at once, and it turns most calls away; some get
-// the configuration, others the list of backend servers.
-// Cause: only a router that had both told anything.
-func TestRouterTellsWhatItKnowsSoFar(t *testing.T) {
-	configured, listed, asking := knowledge.NewState(), knowledge.NewState(), knowledge.NewState()
+// Guards against a fleet that is not ready for many seconds after it was killed. All
+// routers call the store at the same time and it rejects most calls, so some get only the
+// configuration and others only the list; both must pass on what they have.
+func TestPullReturnsPartialState(t *testing.T) {
+	configured, listed, pulling := knowledge.NewState(), knowledge.NewState(), knowledge.NewState()
 	now := boottime.Now()
 	configured.SetConfiguration(&knowledge.Configuration{Version: 4}, now)
 	listed.SetBackends([]knowledge.Backend{{ID: "i", Service: "s", Address: "10.0.0.1:1"}}, knowledge.Position{Revision: 7}, now)
-	puller := newPuller(asking, "", logrus.New())
-	for _, told := range []*knowledge.State{configured, listed} {
-		reply, err := (&server{state: told}).Pull(t.Context(), &peeringpb.PullRequest{})
+	puller := newPuller(pulling, "", logrus.New())
+	for _, source := range []*knowledge.State{configured, listed} {
+		reply, err := (&server{state: source}).Pull(t.Context(), &peeringpb.PullRequest{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -546,7 +534,7 @@
 			t.Fatal(err)
 		}
 	}
-	view := asking.View()
+	view := pulling.View()
 	if !view.Ready() || view.Version() != 4 || len(view.Backends) != 1 || view.ListConfirmedAt > boottime.Now() {
 		t.Errorf("version %d, %d backend servers, listed %v", view.Version(), len(view.Backends), view.ListConfirmedAt)
 	}
@@ -555,45 +543,45 @@
 	}
 }
 
-// Guards against bytes and work that grow with routers times backend servers times changes:
-// a router that is a change behind with a long list takes the change alone.
-func TestChangeOfALongListIsTakenAlone(t *testing.T) {
-	const servers, changeMost = 3000, 2000 // bytes of a reply
+// Guards against bytes and work that grow with routers, backend servers and changes
+// multiplied: a router that is one change behind with a long list pulls only the change.
+func TestChangeOfALongListIsPulledAsDelta(t *testing.T) {
+	const servers, maxReplyBytes = 3000, 2000 // bytes
 	now := boottime.Now()
-	told, asking := knowledge.NewState(), knowledge.NewState()
+	source, pulling := knowledge.NewState(), knowledge.NewState()
 	backends := make([]knowledge.Backend, servers)
 	for i := range backends {
 		backends[i] = knowledge.Backend{ID: fmt.Sprint("i-", i), Service: "s", Address: "10.0.0.1:1"}
 	}
-	for _, state := range []*knowledge.State{told, asking} {
+	for _, state := range []*knowledge.State{source, pulling} {
 		state.SetConfiguration(&knowledge.Configuration{Version: 1}, now)
 		state.SetBackends(slices.Clone(backends), knowledge.Position{Revision: 5}, now)
 	}
 	at := knowledge.Position{Revision: 8}
-	leaves := backends[7]
-	leaves.Draining, leaves.Position = true, at
-	told.ApplyBackendChanges([]knowledge.BackendChange{{ID: leaves.ID, Entry: &leaves}, {ID: "i-9"}}, at)
-	beat := &peeringpb.Beat{Version: 1, Revision: at.Revision, Digest: told.View().Digest}
-	if !newerList(asking.View(), beat) {
+	draining := backends[7]
+	draining.Draining, draining.Position = true, at
+	source.ApplyBackendChanges([]knowledge.BackendChange{{ID: draining.ID, Entry: &draining}, {ID: "i-9"}}, at)
+	beat := &peeringpb.Beat{Version: 1, Revision: at.Revision, Digest: source.View().Digest}
+	if !hasNewerList(pulling.View(), beat) {
 		t.Fatal("a router is not behind")
 	}
-	puller := quietPuller(asking)
-	reply := pullInto(t, puller, told)
-	if size := proto.Size(reply); size > changeMost || len(reply.Backends) > 0 {
-		t.Errorf("one change of %d backend servers takes %d bytes, want %d at most", servers, size, changeMost)
+	puller := newQuietPuller(pulling)
+	reply := pullOnce(t, puller, source)
+	if size := proto.Size(reply); size > maxReplyBytes || len(reply.Backends) > 0 {
+		t.Errorf("one change of %d backend servers takes %d bytes, want %d at most", servers, size, maxReplyBytes)
 	}
-	view := asking.View()
-	if view.Digest != told.View().Digest || view.Position != at || !view.Backends["i-7"].Draining || view.Backends["i-9"] != nil {
+	view := pulling.View()
+	if view.Digest != source.View().Digest || view.Position != at || !view.Backends["i-7"].Draining || view.Backends["i-9"] != nil {
 		t.Errorf("%d backend servers at %v after the change", len(view.Backends), view.Position)
 	}
 }
 
-// pullInto lets a router take what another knows, as pull does.
-func pullInto(t *testing.T, puller *puller, told *knowledge.State) *peeringpb.PullReply {
+// pullOnce pulls the fleet state of a source as puller.pull does.
+func pullOnce(t *testing.T, puller *puller, source *knowledge.State) *peeringpb.PullReply {
 	t.Helper()
 	view := puller.state.View()
-	known := puller.known(view)
-	reply, err := (&server{state: told}).Pull(t.Context(), &peeringpb.PullRequest{
+	known := puller.knownPosition(view)
+	reply, err := (&server{state: source}).Pull(t.Context(), &peeringpb.PullRequest{
 		Version: view.Version(), Era: known.Era, Revision: known.Revision, AcceptsChanges: true,
 	})
 	if err == nil {
@@ -605,31 +593,30 @@
 	return reply
 }
 
-// Guards against a list that stays wrong: where changes did not lead to the list of the
-// router that told them, the next one is taken whole.
-func TestListThatDriftedIsTakenWhole(t *testing.T) {
+// Guards against a list that stays wrong. If changes do not lead to the list of the
+// router that sent them, the next one is pulled in full.
+func TestDivergedListIsPulledInFull(t *testing.T) {
 	now := boottime.Now()
 	entry := func(id string) knowledge.Backend {
 		return knowledge.Backend{ID: id, Service: "s", Address: "10.0.0.1:1"}
 	}
-	told, asking := knowledge.NewState(), knowledge.NewState()
-	told.SetBackends([]knowledge.Backend{entry("a"), entry("b")}, knowledge.Position{Revision: 5}, now)
-	asking.SetBackends([]knowledge.Backend{entry("a")}, knowledge.Position{Revision: 5}, now)
-	puller := quietPuller(asking)
+	source, pulling := knowledge.NewState(), knowledge.NewState()
+	source.SetBackends([]knowledge.Backend{entry("a"), entry("b")}, knowledge.Position{Revision: 5}, now)
+	pulling.SetBackends([]knowledge.Backend{entry("a")}, knowledge.Position{Revision: 5}, now)
+	puller := newQuietPuller(pulling)
 	for revision := uint64(6); revision <= 7; revision++ {
-		told.ApplyBackendChanges([]knowledge.BackendChange{{ID: fmt.Sprint("gone-", revision)}}, knowledge.Position{Revision: revision})
-		pullInto(t, puller, told)
+		source.ApplyBackendChanges([]knowledge.BackendChange{{ID: fmt.Sprint("gone-", revision)}}, knowledge.Position{Revision: revision})
+		pullOnce(t, puller, source)
 	}
-	if view := asking.View(); view.Digest != told.View().Digest || puller.whole.Load() {
+	if view := pulling.View(); view.Digest != source.View().Digest || puller.needsFullList.Load() {
 		t.Errorf("%d backend servers are known, want 2", len(view.Backends))
 	}
 }
 
-// Symptom: a router that the store does not reach has no backend server.
-// Events: a router of another version hands on a list with one entry that this
-// one can't read, and others that name nothing.
-// Cause: the list was given up at the first entry that could not be decoded.
-func TestSpoiledEntryOfARouterLeavesTheOthers(t *testing.T) {
+// Guards against a router without backend servers. When another router, which may run a
+// different version of the program, sends a list with entries that can't be decoded or
+// lack fields, the rest of the list must be kept.
+func TestInvalidEntryDoesNotDiscardTheOthers(t *testing.T) {
 	state := knowledge.NewState()
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
--- a/internal/peering/pull.go
+++ b/internal/peering/pull.go
@@ -18,100 +18,102 @@
 )
 
 const (
-	// pullTimeout bounds one call to another router.
+	// pullTimeout is the timeout of a call to another router.
 	pullTimeout = 600 * time.Millisecond
-	// pullPause is the pause between two calls, as every beat asks for one
-	// while this router is behind.
-	pullPause = 200 * time.Millisecond
-	// listAge is the age from which the list of backend servers is taken from
-	// a router whose list is fresher by listGain. A router that the store
-	// reaches renews its list within one and a half seconds.
-	listAge  = 1600 * time.Millisecond
-	listGain = 500 * time.Millisecond
-	// farPause bounds how long a router waits for one of its own availability zone
-	// to have what another zone's has. Each waits for a part of it that is drawn, so
-	// one of a zone takes a change across and the others take it from that one.
-	farPause = 400 * time.Millisecond
+	// pullInterval is the minimum interval between two calls. While this router is
+	// behind, every received heartbeat would trigger one.
+	pullInterval = 200 * time.Millisecond
+	// staleListAge is the age of the list of backend servers from which it is pulled from
+	// a router whose list is younger by minListAgeGain. A router that reaches the store
+	// renews its list within 1.5 seconds.
+	staleListAge   = 1600 * time.Millisecond
+	minListAgeGain = 500 * time.Millisecond
+	// maxCrossZoneDelay bounds how long a router waits for a router of its own
+	// availability zone to get state that another zone already has. Each router waits for
+	// a random part of it, so that one of them pulls a change from the other zone and the
+	// rest pull it from that one.
+	maxCrossZoneDelay = 400 * time.Millisecond
 )
 
-// puller takes knowledge from other routers.
+// puller pulls fleet state from other routers.
 type puller struct {
 	state   *knowledge.State
 	logger  logrus.FieldLogger
 	network Network
-	pulled  func(router fleet.Address, reply *peeringpb.PullReply) // is told of each reply
+	onReply func(router fleet.Address, reply *peeringpb.PullReply) // called with each reply
 	busy    atomic.Bool
-	next    atomic.Int64 // boot-time clock
+	nextAt  atomic.Int64 // boot-time clock
 
-	// whole tells that the list did not become that of the router that told its changes,
-	// so that the next one is taken whole.
-	whole atomic.Bool
+	// needsFullList is set when applying changes did not lead to the list of the router
+	// that sent them, so that the next list is pulled in full.
+	needsFullList atomic.Bool
 
-	zone     fleet.Zone
-	patience time.Duration    // this router's part of farPause
-	behind   boottime.Instant // since when another router has newer, 0 for not
+	zone           fleet.Zone
+	crossZoneDelay time.Duration    // this router's part of maxCrossZoneDelay
+	behindSince    boottime.Instant // when another router first had newer state, 0 if none has
 }
 
 func newPuller(state *knowledge.State, zone fleet.Zone, logger logrus.FieldLogger) *puller {
 	return &puller{
-		state:    state,
-		logger:   logger,
-		zone:     zone,
-		patience: rand.N(farPause),
+		state:          state,
+		logger:         logger,
+		zone:           zone,
+		crossZoneDelay: rand.N(maxCrossZoneDelay),
 	}
 }
 
-// consider takes knowledge from the router of the beat when it has newer. alone
-// tells that no other router of this zone is heard.
-func (p *puller) consider(ctx context.Context, router fleet.Address, beat *peeringpb.Beat, alone func(now boottime.Instant) bool, now boottime.Instant) {
+// pullIfNewer pulls the fleet state of the heartbeat's sender if it is newer. alone
+// reports whether no other router of this zone is reachable.
+func (p *puller) pullIfNewer(ctx context.Context, router fleet.Address, beat *peeringpb.Beat, alone func(now boottime.Instant) bool, now boottime.Instant) {
 	view := p.state.View()
-	newer := beat.Version > view.Version() || newerList(view, beat)
+	newer := beat.Version > view.Version() || hasNewerList(view, beat)
 	own := now.Sub(view.ListConfirmedAt)
-	fresher := beat.ListAge >= 0 && own > listAge && own-time.Duration(beat.ListAge) > listGain
+	fresher := beat.ListAge >= 0 && own > staleListAge && own-time.Duration(beat.ListAge) > minListAgeGain
 	if !newer && !fresher {
 		return
 	}
-	hasty := !view.Ready() || fleet.Zone(beat.Zone) == p.zone || alone(now)
-	if !hasty && !p.waited(now) {
+	immediate := !view.Ready() || fleet.Zone(beat.Zone) == p.zone || alone(now)
+	if !immediate && !p.delayElapsed(now) {
 		return
 	}
-	if now < boottime.Instant(p.next.Load()) || !p.busy.CompareAndSwap(false, true) {
+	if now < boottime.Instant(p.nextAt.Load()) || !p.busy.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
 		defer p.busy.Store(false)
 		p.pull(ctx, router, view)
-		p.next.Store(int64(boottime.Now().Add(pullPause)))
+		p.nextAt.Store(int64(boottime.Now().Add(pullInterval)))
 	}()
 }
 
-// newerList tells whether the beat's router has another and newer list. One of a newer era
-// is taken even if it is the same, once for each era: the router must know that the store
-// has lost something, and by revisions it could not tell.
-func newerList(view *knowledge.View, beat *peeringpb.Beat) bool {
+// hasNewerList reports whether the heartbeat's sender has a different and newer list. A
+// list of a newer era is pulled once even if it is identical: this router must learn that
+// the store was restored from an older copy, which revisions alone cannot show.
+func hasNewerList(view *knowledge.View, beat *peeringpb.Beat) bool {
 	if beat.Era > view.Position.Era {
 		return true
 	}
 	return view.Position.Before(knowledge.Position{Era: beat.Era, Revision: beat.Revision}) && beat.Digest != view.Digest
 }
 
-// waited tells whether this router has been behind for its part of farPause.
-func (p *puller) waited(now boottime.Instant) bool {
-	if p.behind == 0 || now.Sub(p.behind) > 2*farPause {
-		p.behind = now // of another change than the last time
+// delayElapsed reports whether this router has been behind for its part of
+// maxCrossZoneDelay.
+func (p *puller) delayElapsed(now boottime.Instant) bool {
+	if p.behindSince == 0 || now.Sub(p.behindSince) > 2*maxCrossZoneDelay {
+		p.behindSince = now // a different change than last time
 	}
-	return now.Sub(p.behind) >= p.patience
+	return now.Sub(p.behindSince) >= p.crossZoneDelay
 }
 
 func (p *puller) pull(ctx context.Context, router fleet.Address, view *knowledge.View) {
-	asked := boottime.Now()
-	known := p.known(view)
+	requestedAt := boottime.Now()
+	known := p.knownPosition(view)
 	reply, err := p.network.Pull(ctx, router, &peeringpb.PullRequest{
 		Version: view.Version(), Era: known.Era, Revision: known.Revision, AcceptsChanges: true,
 	})
 	if err == nil {
-		p.pulled(router, reply)
-		err = p.apply(reply, known, asked)
+		p.onReply(router, reply)
+		err = p.apply(reply, known, requestedAt)
 	}
 	fields := logrus.Fields{"peer": router, "version": view.Version()}
 	if err != nil {
@@ -122,28 +124,28 @@
 	event.GateStatePulled.Log(p.logger, fields)
 }
 
-// known returns the position of the list to which changes are asked for.
-func (p *puller) known(view *knowledge.View) knowledge.Position {
-	if p.whole.Load() {
+// knownPosition returns the position of the list from which changes are requested.
+func (p *puller) knownPosition(view *knowledge.View) knowledge.Position {
+	if p.needsFullList.Load() {
 		return knowledge.Position{}
 	}
 	return view.Position
 }
 
-// apply takes a reply to a call that named the known list.
-func (p *puller) apply(reply *peeringpb.PullReply, known knowledge.Position, asked boottime.Instant) error {
+// apply applies a reply to a call that named the known position.
+func (p *puller) apply(reply *peeringpb.PullReply, known knowledge.Position, requestedAt boottime.Instant) error {
 	if len(reply.Configuration) > 0 {
 		var configuration knowledge.Configuration
 		if err := json.Unmarshal(reply.Configuration, &configuration); err != nil {
 			return err
 		}
-		p.state.SetConfiguration(&configuration, confirmedAt(asked, reply.ConfigAge))
+		p.state.SetConfiguration(&configuration, confirmedAt(requestedAt, reply.ConfigAge))
 	}
 	if reply.ListAge < 0 {
-		return nil // it has no list yet
+		return nil // the sender has no list yet
 	}
 	at := knowledge.Position{Era: reply.Era, Revision: reply.Revision}
-	confirmed := confirmedAt(asked, reply.ListAge)
+	confirmed := confirmedAt(requestedAt, reply.ListAge)
 	switch {
 	case reply.Changes:
 		return p.applyChanges(reply, knowledge.ListChanges{Since: known, UpTo: at, Removed: reply.Removed}, confirmed)
@@ -153,9 +155,9 @@
 			return err
 		}
 		p.state.SetBackends(backends, at, confirmed)
-		p.whole.Store(false)
+		p.needsFullList.Store(false)
 	default:
-		// The same position means the same list, of which only the age is new.
+		// An equal position means an identical list, so only its age is new.
 		if view := p.state.View(); at == view.Position {
 			p.state.ConfirmBackends(view.Digest, confirmed)
 		}
@@ -163,7 +165,7 @@
 	return nil
 }
 
-// applyChanges takes the list of a reply that tells changes.
+// applyChanges applies a reply that carries changes to the list.
 func (p *puller) applyChanges(reply *peeringpb.PullReply, changes knowledge.ListChanges, confirmed boottime.Instant) error {
 	if len(reply.Changed) > 0 {
 		var err error
@@ -172,16 +174,16 @@
 		}
 	}
 	if !p.state.ApplyListChanges(changes, confirmed) {
-		return nil // a newer list has come meanwhile
+		return nil // a newer list has arrived meanwhile
 	}
 	view := p.state.View()
 	comparable := reply.Digest != 0 && view.Position == changes.UpTo && len(view.MissingSince) == 0
-	p.whole.Store(comparable && view.Digest != reply.Digest)
+	p.needsFullList.Store(comparable && view.Digest != reply.Digest)
 	return nil
 }
 
-// decodeBackends decodes a list of another router, which may run another version
-// of the program. An entry that can't be used does not take the others with it.
+// decodeBackends decodes the list of another router, which may run a different version of
+// the program. An invalid entry is skipped and the others are kept.
 func (p *puller) decodeBackends(encoded []byte) ([]knowledge.Backend, error) {
 	var entries []json.RawMessage
 	if err := json.Unmarshal(encoded, &entries); err != nil {
@@ -192,7 +194,7 @@
 		var backend knowledge.Backend
 		err := json.Unmarshal(entry, &backend)
 		if err == nil && !backend.Valid() {
-			err = errNotWhole
+			err = errInvalidEntry
 		}
 		if err != nil {
 			event.GateEntryInvalid.Log(p.logger, logrus.Fields{"kind": "peer", "name": backend.ID, "error": err.Error()})
@@ -203,11 +205,11 @@
 	return backends, nil
 }
 
-// errNotWhole tells that an entry of another router names no backend server.
-var errNotWhole = errors.New("an entry without id, service or address")
+// errInvalidEntry is the error for an entry that lacks a required field.
+var errInvalidEntry = errors.New("entry lacks an id, a service or an address")
 
-// confirmedAt returns the moment of a confirmation of the given age, as told
-// in answer to a call. The age counts from the call: the answer may be late.
-func confirmedAt(asked boottime.Instant, age int64) boottime.Instant {
-	return asked.Add(-time.Duration(age))
+// confirmedAt returns the time of a confirmation whose age a reply states. The age counts
+// from the request, as the reply may be delayed.
+func confirmedAt(requestedAt boottime.Instant, age int64) boottime.Instant {
+	return requestedAt.Add(-time.Duration(age))
 }
--- a/internal/peering/register.go
+++ b/internal/peering/register.go
@@ -13,50 +13,53 @@
 )
 
 const (
-	// startInterval is the pause between the first startLooks looks into the
-	// directory, in which all routers of a fleet that starts have registered. A
-	// router that comes later finds the others there and tells them.
-	startInterval = 3 * time.Second
-	startLooks    = 3
-	// directoryInterval is the pause between later looks. They only find routers
-	// that were cut off for longer than their addresses are tried, so it is well
-	// below addressLife.
-	directoryInterval = 30 * time.Second
-	// announceAfter is the number of lists in a row without this router after
+	// startReadInterval is the interval between the first startReads reads of the
+	// directory. By then all routers of a fleet that starts together have registered. A
+	// router that starts later finds the others in the directory and sends them
+	// heartbeats.
+	startReadInterval = 3 * time.Second
+	startReads        = 3
+	// directoryReadInterval is the interval between later reads. They only find routers
+	// that were unreachable for longer than addressTTL, so it is well below addressTTL.
+	directoryReadInterval = 30 * time.Second
+	// registerAfterMissing is the number of consecutive lists without this router after
 	// which it registers again.
-	announceAfter = 3
+	registerAfterMissing = 3
 )
 
-// register looks for other routers, and announces this one where it is missing, until
-// the context ends. A process that starts again on its VM finds its entry from before.
-func (m *Manager) register(ctx context.Context) error {
-	missing := announceAfter - 1 // lists in a row that lack this router
-	wentBack := m.options.State.View().RestoredAt
-	for look := 1; ; look++ {
+// maintainRegistration reads the directory to find other routers, and registers this one
+// if its entry is missing, until the context ends. A process that restarts on its VM
+// finds the entry of its predecessor.
+func (m *Manager) maintainRegistration(ctx context.Context) error {
+	missing := registerAfterMissing - 1 // consecutive lists without this router
+	restoredAt := m.options.State.View().RestoredAt
+	for read := 1; ; read++ {
 		zones, err := m.options.Directory.Routers(ctx)
 		m.logFailure(ctx, err)
 		if err == nil {
-			missing = m.takeDirectory(ctx, zones, missing)
+			missing = m.applyDirectory(ctx, zones, missing)
 		}
-		if err == nil && missing >= announceAfter {
-			missing = m.announce(ctx, missing)
+		if err == nil && missing >= registerAfterMissing {
+			missing = m.registerSelf(ctx, missing)
 		}
-		m.awaitLook(ctx, lookPause(look, len(m.heard(boottime.Now()))), wentBack)
+		m.awaitNextRead(ctx, readInterval(read, len(m.reachableRouters(boottime.Now()))), restoredAt)
 		if ctx.Err() != nil {
 			return nil
 		}
-		if again := m.options.State.View().RestoredAt; again != wentBack {
-			// The store may have lost this router's entry, and those of others that
-			// came of late. Routers that hear nobody find each other by them alone, so
-			// it is looked into as at the start, and one list without it is enough.
-			wentBack, look = again, 0
-			missing = max(missing, announceAfter-1)
+		if newest := m.options.State.View().RestoredAt; newest != restoredAt {
+			// The store may have lost the entries of this router and of others that
+			// registered recently. Unreachable routers find each other only by these
+			// entries, so the directory is read as often as at the start, and a single
+			// list without this router is enough to register again.
+			restoredAt, read = newest, 0
+			missing = max(missing, registerAfterMissing-1)
 		}
 	}
 }
 
-// announce registers this router and returns how many lists in a row lack it then.
-func (m *Manager) announce(ctx context.Context, missing int) int {
+// registerSelf registers this router and returns the number of consecutive lists without
+// it.
+func (m *Manager) registerSelf(ctx context.Context, missing int) int {
 	err := m.options.Directory.Register(ctx, m.options.Address)
 	m.logFailure(ctx, err)
 	if err != nil {
@@ -65,14 +68,14 @@
 	return 0
 }
 
-// awaitLook waits for the time, or until the store has come back from an older copy since
-// the moment, or the context ends.
-func (m *Manager) awaitLook(ctx context.Context, pause time.Duration, wentBack boottime.Instant) {
+// awaitNextRead waits until the pause has passed, the store has been restored from an
+// older copy since restoredAt, or the context ends.
+func (m *Manager) awaitNextRead(ctx context.Context, pause time.Duration, restoredAt boottime.Instant) {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	for {
 		changed := m.options.State.Changed()
-		if m.options.State.View().RestoredAt != wentBack {
+		if m.options.State.View().RestoredAt != restoredAt {
 			return
 		}
 		select {
@@ -85,26 +88,27 @@
 	}
 }
 
-// lookPause returns the pause after so many looks into the directory. A router that
-// hears nobody goes on as at the start.
-func lookPause(looks, heard int) time.Duration {
-	if looks < startLooks || heard == 0 {
-		return startInterval
+// readInterval returns the pause after the given number of reads. A router without
+// reachable peers goes on at the start interval.
+func readInterval(reads, reachable int) time.Duration {
+	if reads < startReads || reachable == 0 {
+		return startReadInterval
 	}
-	return directoryInterval
+	return directoryReadInterval
 }
 
-// takeDirectory takes a list of the routers and returns how many in a row have
-// lacked this one. The list may be seconds old, so one that does means nothing.
-func (m *Manager) takeDirectory(ctx context.Context, zones map[fleet.Address]fleet.Zone, missing int) int {
+// applyDirectory adds the listed routers and returns the number of consecutive lists
+// without this router. A list may be seconds old, so a single one without it proves
+// nothing.
+func (m *Manager) applyDirectory(ctx context.Context, zones map[fleet.Address]fleet.Zone, missing int) int {
 	now := boottime.Now()
-	m.looked.Store(true)
+	m.directoryRead.Store(true)
 	for address, zone := range zones {
 		m.add(address, zone, now)
 	}
 	if m.WatchesStore() {
-		for _, gone := range m.gone(lo.Keys(zones), now) {
-			m.logFailure(ctx, m.options.Directory.Remove(ctx, gone))
+		for _, expired := range m.expiredEntries(lo.Keys(zones), now) {
+			m.logFailure(ctx, m.options.Directory.Remove(ctx, expired))
 		}
 	}
 	if zone, listed := zones[m.options.Address]; listed && zone == m.options.Zone {
--- a/internal/peering/send.go
+++ b/internal/peering/send.go
@@ -14,52 +14,53 @@
 )
 
 const (
-	// beatInterval is the pause between two rounds of beats.
-	beatInterval = 100 * time.Millisecond
-	// smallFleet is the number of other routers up to which each tells all of them
-	// everything in each round.
-	smallFleet = 10
-	// zoneBeats bounds the beats of one round to routers of the own availability
-	// zone, and farBeats those to others, so that a large fleet costs each of its
-	// routers no more than a middling one. In a larger fleet each router hears from
-	// the others more rarely.
-	zoneBeats = 16
-	farBeats  = 2
-	// leadBeats are those of a router that follows the store or sums its zone: what
-	// it knows is fresher than what others do.
-	leadBeats = 6
-	// urgentBeats are those of a round that carries a fingerprint: until all have
-	// heard of it, the request goes on breaking backend servers.
-	urgentBeats = 10
-	// routersPerBeat is how many addresses of other routers a beat carries.
-	// They are drawn, so all become known within some beats.
-	routersPerBeat = 2
-	// beatMost is the size of the largest datagram.
-	beatMost = 60 << 10
-	// brokenRepeats is how many beats tell a router of a fingerprint, as some get
-	// lost.
-	brokenRepeats = 3
+	// heartbeatInterval is the interval between two rounds of heartbeats.
+	heartbeatInterval = 100 * time.Millisecond
+	// smallFleetSize is the number of other routers up to which each router sends
+	// everything to all of them in each round.
+	smallFleetSize = 10
+	// maxZoneHeartbeats bounds the heartbeats of a round to routers of the same
+	// availability zone, and maxRemoteHeartbeats those to other zones. This bounds the
+	// cost to each router in a large fleet, where routers receive each other's heartbeats
+	// less often instead.
+	maxZoneHeartbeats   = 16
+	maxRemoteHeartbeats = 2
+	// maxRemoteHeartbeatsOfLead replaces maxRemoteHeartbeats at a router that watches the
+	// store or aggregates its zone, since its state is newer than that of others.
+	maxRemoteHeartbeatsOfLead = 6
+	// maxUrgentRemoteHeartbeats replaces maxRemoteHeartbeats in rounds that carry a
+	// fingerprint: until all routers have it, the request goes on crashing backend
+	// servers.
+	maxUrgentRemoteHeartbeats = 10
+	// addressesPerHeartbeat is the number of addresses of other routers in a heartbeat.
+	// They are picked at random, so all addresses spread within some heartbeats.
+	addressesPerHeartbeat = 2
+	// maxHeartbeatSize is the size of the largest datagram.
+	maxHeartbeatSize = 60 << 10
+	// fingerprintRepeats is the number of heartbeats in which each router is sent a
+	// fingerprint, since some get lost.
+	fingerprintRepeats = 3
 )
 
-// brokenEntry is a fingerprint that some more rounds of beats carry.
-type brokenEntry struct {
+// fingerprintEntry is a fingerprint with the number of rounds that still carry it.
+type fingerprintEntry struct {
 	fingerprint uint64
-	left        int
+	roundsLeft  int
 }
 
-// send sends beats until the context ends.
+// send sends heartbeats until the context ends.
 func (m *Manager) send(ctx context.Context) error {
-	ticker := time.NewTicker(beatInterval)
+	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
 	for round := 0; ; round++ {
 		now := boottime.Now()
 		for _, lost := range m.expire(now) {
-			m.records.noteLost(lost)
+			m.peerLog.addLost(lost)
 			m.local.RemoveUsages(lost)
 		}
-		m.records.log(now)
+		m.peerLog.log(now)
 		m.traffic.log(now)
-		m.local.SetUsages(elsewhere, m.refreshOthers(now))
+		m.local.SetUsages(otherZones, m.refreshOtherZones(now))
 		m.sendRound(round, now)
 		select {
 		case <-ctx.Done():
@@ -69,83 +70,85 @@
 	}
 }
 
-// sendRound sends the beats of one round.
+// sendRound sends the heartbeats of one round.
 func (m *Manager) sendRound(round int, now boottime.Instant) {
 	targets := m.targets(now)
-	common := m.common(now, len(targets))
-	own := use{loads: m.local.Loads(), uses: m.local.Usages(), paces: ownPaces(m.local.Paces(), now), at: now}
-	if len(targets) <= smallFleet {
-		m.sendBeats(targets, common, own, m.pacesDue(round, 1), summed{})
+	common := m.commonHeartbeat(now, len(targets))
+	own := usage{loads: m.local.Loads(), usages: m.local.Usages(), paces: splitPaces(m.local.Paces(), now), at: now}
+	if len(targets) <= smallFleetSize {
+		m.sendHeartbeats(targets, common, own, m.pacesDue(round, 1), encodedAggregate{})
 		return
 	}
-	same, others := m.zoneTargets(targets)
-	pacesDue := m.pacesDue(round, rounds(len(same), zoneBeats))
-	same = turn(same, round, zoneBeats)
-	// Routers that start together count their rounds alike. Those of other zones would all
-	// tell one router in the same round, and then none for as long as a turn takes.
-	roundOthers := round + int(m.hash%uint64(len(targets)))
-	if !m.summing(now) {
-		m.sendBeats(same, common, own, pacesDue, summed{})
-		others = turn(others, roundOthers, m.beatsToOthers(m.WatchesStore()))
+	local, remote := m.splitByZone(targets)
+	pacesDue := m.pacesDue(round, roundsPerCycle(len(local), maxZoneHeartbeats))
+	local = targetsOfRound(local, round, maxZoneHeartbeats)
+	// Routers that start together have equal round numbers. Without an offset, all
+	// routers of a zone would send to the same remote router in one round, which would
+	// then receive none for a whole cycle.
+	remoteRound := round + int(m.hash%uint64(len(targets)))
+	if !m.isAggregator(now) {
+		m.sendHeartbeats(local, common, own, pacesDue, encodedAggregate{})
+		remote = targetsOfRound(remote, remoteRound, m.remoteHeartbeatLimit(m.WatchesStore()))
 		if round%standbyRounds == 0 {
-			others = lo.Union(others, m.sumSenders())
+			remote = lo.Union(remote, m.aggregateSenders())
 		}
-		m.sendBeats(others, common, use{}, false, summed{})
+		m.sendHeartbeats(remote, common, usage{}, false, encodedAggregate{})
 		return
 	}
-	handedOn, covered := m.others(now, pacesDue)
-	m.othersLog.update(handedOn, now)
-	for receiver, group := range m.byBase(same, &m.othersLog) {
-		m.sendBeats(group, common, own, pacesDue, receiver.told(&m.othersLog, handedOn, covered, pacesDue))
-	}
-	summers := m.sumTargets(round, now)
-	others = turn(others, roundOthers, m.beatsToOthers(true))
-	m.sendBeats(lo.Without(others, summers...), common, use{}, false, summed{})
-	// These are the rounds in which the standby routers get the sums too.
-	summersDue := round%standbyRounds == 0
-	total := m.sumZone(own, now, summersDue)
+	forwarded, covered := m.otherZonesUsage(now, pacesDue)
+	m.otherZonesLog.update(forwarded, now)
+	for receiver, group := range m.groupByState(local, &m.otherZonesLog) {
+		m.sendHeartbeats(group, common, own, pacesDue, receiver.encode(&m.otherZonesLog, forwarded, covered, pacesDue))
+	}
+	aggregators := m.aggregateTargets(round, now)
+	remote = targetsOfRound(remote, remoteRound, m.remoteHeartbeatLimit(true))
+	m.sendHeartbeats(lo.Without(remote, aggregators...), common, usage{}, false, encodedAggregate{})
+	// In these rounds the standby routers receive the aggregate too.
+	standbyDue := round%standbyRounds == 0
+	total := m.aggregateZone(own, now, standbyDue)
 	m.zoneLog.update(total, now)
-	for receiver, group := range m.byBase(summers, &m.zoneLog) {
-		m.sendBeats(group, common, use{}, false, receiver.told(&m.zoneLog, total, []fleet.Zone{m.zone}, summersDue))
+	for receiver, group := range m.groupByState(aggregators, &m.zoneLog) {
+		m.sendHeartbeats(group, common, usage{}, false, receiver.encode(&m.zoneLog, total, []fleet.Zone{m.zone}, standbyDue))
 	}
 }
 
-// beatsToOthers returns how many beats of a round go to other zones. leads tells
-// that this router follows the store or sums its zone.
-func (m *Manager) beatsToOthers(leads bool) int {
+// remoteHeartbeatLimit returns the maximum number of heartbeats of a round to other
+// zones. leads is set for a router that watches the store or aggregates its zone.
+func (m *Manager) remoteHeartbeatLimit(leads bool) int {
 	switch {
-	case len(m.broken) > 0:
-		return urgentBeats
+	case len(m.fingerprints) > 0:
+		return maxUrgentRemoteHeartbeats
 	case leads:
-		return leadBeats
+		return maxRemoteHeartbeatsOfLead
 	}
-	return farBeats
+	return maxRemoteHeartbeats
 }
 
-// sumTargets returns where the sums of this zone go in a round: to the routers that
-// sum the other zones, and now and then to those that would step in.
-func (m *Manager) sumTargets(round int, now boottime.Instant) []fleet.Address {
+// aggregateTargets returns the routers that receive the aggregate of this zone in a
+// round: the aggregators of the other zones, and every standbyRounds rounds their standby
+// routers.
+func (m *Manager) aggregateTargets(round int, now boottime.Instant) []fleet.Address {
 	var targets []fleet.Address
-	for zone, summers := range m.summers(now) {
-		acting := summers[0]
-		if told := m.summerOf(zone, now); told != "" {
-			acting = told
+	for zone, aggregators := range m.aggregators(now) {
+		acting := aggregators[0]
+		if known := m.aggregatorOf(zone, now); known != "" {
+			acting = known
 		}
 		targets = append(targets, acting)
 		if round%standbyRounds == 0 {
-			targets = append(targets, lo.Without(summers, acting)...)
+			targets = append(targets, lo.Without(aggregators, acting)...)
 		}
 	}
 	return targets
 }
 
-// rounds returns in how many rounds all targets have their turn.
-func rounds(targets, perRound int) int { return max((targets+perRound-1)/perRound, 1) }
+// roundsPerCycle returns the number of rounds in which all targets are sent to once.
+func roundsPerCycle(targets, perRound int) int { return max((targets+perRound-1)/perRound, 1) }
 
-// turn returns the targets of a round. All have their turn in as few rounds as
-// the bound allows.
-func turn(targets []fleet.Address, round, perRound int) []fleet.Address {
-	all := rounds(len(targets), perRound)
+// targetsOfRound returns the targets of a round, so that each target is included once in
+// as few rounds as the limit allows.
+func targetsOfRound(targets []fleet.Address, round, perRound int) []fleet.Address {
+	all := roundsPerCycle(len(targets), perRound)
 	if all == 1 {
 		return targets
 	}
@@ -153,26 +156,26 @@
 	return lo.Filter(targets, func(_ fleet.Address, index int) bool { return index%all == round%all })
 }
 
-// sendBeats sends to the targets what all are told, what this router uses, with the usual
-// work times that it has seen when they are due, and the sums of whole zones.
-func (m *Manager) sendBeats(targets []fleet.Address, common *peeringpb.Beat, own use, pacesDue bool, sums summed) {
+// sendHeartbeats sends the targets the common part, this router's own usage, with the
+// usual work times if due, and aggregates of zones.
+func (m *Manager) sendHeartbeats(targets []fleet.Address, common *peeringpb.Beat, own usage, pacesDue bool, aggregates encodedAggregate) {
 	if len(targets) == 0 {
 		return
 	}
 	beat := proto.CloneOf(common)
 	beat.Echoes = m.echoes(targets)
-	beat.Uses = encodeUses(own.uses)
+	beat.Uses = encodeUsages(own.usages)
 	beat.Loads = encodeLoads(own.loads)
-	beat.Paces, beat.Slowed = own.paces.carry(pacesDue, boottime.Instant(common.Clock))
-	beat.Held = m.held(targets)
-	beat.Sums, beat.SumChanges = sums.whole, sums.changes
+	beat.Paces, beat.Slowed = own.paces.encode(pacesDue, boottime.Instant(common.Clock))
+	beat.Held = m.heldAggregates(targets)
+	beat.Sums, beat.SumChanges = aggregates.full, aggregates.deltas
 	data, err := proto.Marshal(beat)
 	if err != nil {
-		panic(err) // only text that is no UTF-8 can't be encoded
+		panic(err) // only invalid UTF-8 can't be encoded
 	}
-	what := messageBeat
-	if sums != (summed{}) {
-		what = messageSums
+	what := messageHeartbeat
+	if aggregates != (encodedAggregate{}) {
+		what = messageAggregate
 	}
 	for _, target := range targets {
 		m.network.Send(data, target)
@@ -180,8 +183,9 @@
 	}
 }
 
-// common returns what all routers are told in a round, of so many.
-func (m *Manager) common(now boottime.Instant, targets int) *peeringpb.Beat {
+// commonHeartbeat returns the part of a round's heartbeats that is the same for all
+// targets.
+func (m *Manager) commonHeartbeat(now boottime.Instant, targets int) *peeringpb.Beat {
 	view := m.options.State.View()
 	return &peeringpb.Beat{
 		Address:     string(m.options.Address),
@@ -189,41 +193,42 @@
 		Incarnation: m.options.Incarnation,
 		Clock:       int64(now),
 		Version:     view.Version(),
-		ConfigAge:   age(view.ConfigurationConfirmedAt, now),
+		ConfigAge:   ageAt(view.ConfigurationConfirmedAt, now),
 		Digest:      view.Digest,
 		Era:         view.Position.Era,
 		Revision:    view.Position.Revision,
-		ListAge:     age(view.ListConfirmedAt, now),
-		ContactAge:  age(view.StoreContact, now),
+		ListAge:     ageAt(view.ListConfirmedAt, now),
+		ContactAge:  ageAt(view.StoreContact, now),
 		Evacuations: encodeEvacuations(&view.Evacuations, now),
-		Broken:      m.takeBroken(rounds(targets, urgentBeats)),
-		Routers:     lo.Map(lo.Samples(m.heard(now), routersPerBeat), func(address fleet.Address, _ int) string { return string(address) }),
+		Broken:      m.nextFingerprints(roundsPerCycle(targets, maxUrgentRemoteHeartbeats)),
+		Routers:     lo.Map(lo.Samples(m.reachableRouters(now), addressesPerHeartbeat), func(address fleet.Address, _ int) string { return string(address) }),
 	}
 }
 
-// age returns nanoseconds, negative when the moment is unknown.
-func age(since, now boottime.Instant) int64 {
+// ageAt returns the age in nanoseconds, -1 if the time is unknown.
+func ageAt(since, now boottime.Instant) int64 {
 	if since == 0 {
 		return -1
 	}
 	return int64(now.Sub(since))
 }
 
-// takeBroken returns the fingerprints that the beats of this round carry. They go
-// on until each router has had its turn several times, in so many rounds each.
-func (m *Manager) takeBroken(rounds int) []uint64 {
+// nextFingerprints returns the fingerprints that this round carries. Each is carried
+// until every router has been sent it fingerprintRepeats times, where a cycle through the
+// routers takes the given number of rounds.
+func (m *Manager) nextFingerprints(rounds int) []uint64 {
 	for _, fingerprint := range m.local.TakeCrashFingerprints() {
-		m.broken = append(m.broken, brokenEntry{fingerprint: fingerprint, left: brokenRepeats * rounds})
+		m.fingerprints = append(m.fingerprints, fingerprintEntry{fingerprint: fingerprint, roundsLeft: fingerprintRepeats * rounds})
 	}
 	var carried []uint64
-	kept := m.broken[:0]
-	for _, entry := range m.broken {
+	kept := m.fingerprints[:0]
+	for _, entry := range m.fingerprints {
 		carried = append(carried, entry.fingerprint)
-		entry.left--
-		if entry.left > 0 {
+		entry.roundsLeft--
+		if entry.roundsLeft > 0 {
 			kept = append(kept, entry)
 		}
 	}
-	m.broken = kept
+	m.fingerprints = kept
 	return carried
 }
--- a/internal/peering/slowstart.go
+++ b/internal/peering/slowstart.go
@@ -7,13 +7,13 @@
 	"github.com/bluebellchute/bluebellchute/internal/selection"
 )
 
-// settleTime is how long a router takes no part in what cold backend servers get after
-// its start: the others must have heard of it by then, and it must have forgotten
-// nothing of what its VM's last process sent in the second before.
-const settleTime = 2 * time.Second
+// settlePeriod is the time after its start in which a router sends nothing to cold
+// backend servers. By its end, the other routers know of it, and requests that its VM's
+// previous process sent have left the limiter's window of one second.
+const settlePeriod = 2 * time.Second
 
-// Order implements slowstart.Fleet. Routers that have fallen silent count for as long
-// as their addresses are tried: behind a cut they still send.
+// Order implements slowstart.Fleet. Unreachable routers count until their addresses
+// expire, as they still send requests if only the network is partitioned.
 func (t *table) Order(key uint64) (before, known int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -26,12 +26,12 @@
 	return before, len(t.peers) + 1
 }
 
-// Settled implements slowstart.Fleet. A router that has heard nobody and has not seen
-// the directory either may be cut off from a whole fleet.
+// Settled implements slowstart.Fleet. A router that has neither received a heartbeat nor
+// read the directory may be isolated from a whole fleet.
 func (m *Manager) Settled() bool {
 	now := boottime.Now()
-	if now.Sub(m.started) < settleTime {
+	if now.Sub(m.started) < settlePeriod {
 		return false
 	}
-	return m.looked.Load() || len(m.heard(now)) > 0
+	return m.directoryRead.Load() || len(m.reachableRouters(now)) > 0
 }
--- a/internal/peering/table.go
+++ b/internal/peering/table.go
@@ -14,72 +14,72 @@
 )
 
 const (
-	// heardLife is how long after its last beat a router counts as heard at
-	// least, and heardRounds how many of its turns: several, so that lost
-	// datagrams don't make it vanish.
-	heardLife   = 1500 * time.Millisecond
-	heardRounds = 4
-	// countLife is how long the greatest number of routers is remembered. A
-	// router that is cut off must not take the others' part of a budget, as
-	// they still use it.
-	countLife = time.Minute
-	// addressLife is how long an address is tried from which nothing came.
-	addressLife = 2 * time.Minute
-	// entryLife is how long the entry of a router that nobody hears stays in the
-	// directory. VMs are replaced many times a day, and their entries would
-	// gather for good. It is longer than partitions last, as those who are cut
-	// off find each other by the entries.
-	entryLife = 30 * time.Minute
+	// minPeerTimeout is the minimum time after its last heartbeat for which a router
+	// counts as reachable, and peerTimeoutTurns the number of its turns to send. It spans
+	// several turns so that lost datagrams don't make the router unreachable.
+	minPeerTimeout   = 1500 * time.Millisecond
+	peerTimeoutTurns = 4
+	// routerCountTTL is how long the maximum number of routers is kept. A router that
+	// loses contact must not take over the other routers' part of a budget while they
+	// still use it.
+	routerCountTTL = time.Minute
+	// addressTTL is how long heartbeats are sent to an address that does not respond.
+	addressTTL = 2 * time.Minute
+	// directoryEntryTTL is how long the directory entry of an unreachable router is kept.
+	// VMs are replaced many times a day, and without removal their entries would
+	// accumulate. It is longer than network partitions last, as partitioned routers find
+	// each other by these entries.
+	directoryEntryTTL = 30 * time.Minute
 )
 
 // peer is another router.
 type peer struct {
-	address     fleet.Address
-	hash        uint64 // of the address
-	incarnation uint64
-	clock       int64            // the newest of the peer's clocks that came
-	heard       boottime.Instant // when it came, 0 for never
-	tried       boottime.Instant // when the address became known
-	zone        fleet.Zone       // zoneUnknown until it is told
-	use         use              // as it told last
-	contact     boottime.Instant // when the store answered it, 0 for never
-	// takesChanges tells whether it takes sums as changes, and held is the clock of this
-	// router up to which it holds them, 0 for none.
-	takesChanges bool
-	held         boottime.Instant
+	address       fleet.Address
+	hash          uint64 // of the address
+	incarnation   uint64
+	clock         int64            // the newest clock received from the peer
+	lastHeartbeat boottime.Instant // when the newest clock arrived, 0 for never
+	triedSince    boottime.Instant // when the address was added or its router last became unreachable
+	zone          fleet.Zone       // zoneUnknown until it is received
+	usage         usage            // as last reported
+	storeContact  boottime.Instant // when the store last answered the peer, 0 for never
+	// acceptsDeltas reports whether the peer accepts aggregates as deltas. heldClock is
+	// the clock of this router up to which the peer holds them, 0 for none.
+	acceptsDeltas bool
+	heldClock     boottime.Instant
 }
 
-// table holds what is known of the other routers.
+// table holds the state of the other routers.
 type table struct {
 	self fleet.Address
 	hash uint64 // of self
 	zone fleet.Zone
 
-	mu    sync.Mutex
-	peers map[fleet.Address]*peer
-	sums  map[uint32]gate.BackendLoad // over the peers that are heard, by hash of the backend server's incarnation
-	told  map[fleet.Address]*sums     // of other zones, by the router that told it
-	// otherLoads are the loads of the zones that told covers.
-	otherLoads map[uint32]gate.BackendLoad
-	otherPaces paces // of these zones
-	covered    []fleet.Zone
-	inZone     int // routers of this zone that are known
-	most       int // greatest number of routers of late
-	mostAt     boottime.Instant
-	heardLast  boottime.Instant                   // when any router was heard
-	silent     map[fleet.Address]boottime.Instant // since when an entry's router is not heard
+	mu         sync.Mutex
+	peers      map[fleet.Address]*peer
+	loads      map[uint32]gate.BackendLoad  // sums over the reachable peers, by hash of the backend server's incarnation
+	aggregates map[fleet.Address]*aggregate // of other zones, by the router that sent them
+	// otherZoneLoads are the loads of coveredZones.
+	otherZoneLoads   map[uint32]gate.BackendLoad
+	otherZonePaces   paces // of coveredZones
+	coveredZones     []fleet.Zone
+	zoneRouters      int // known routers of this zone
+	maxRouters       int // maximum number of routers within routerCountTTL
+	maxRoutersAt     boottime.Instant
+	lastHeartbeat    boottime.Instant                   // when a heartbeat of any router last arrived
+	unreachableSince map[fleet.Address]boottime.Instant // since when a listed router has been unreachable
 }
 
 func newTable(self fleet.Address, zone fleet.Zone) *table {
 	return &table{
-		self:  self,
-		hash:  hashOf(self),
-		zone:  zone,
-		peers: make(map[fleet.Address]*peer),
-		sums:  make(map[uint32]gate.BackendLoad),
-		told:  make(map[fleet.Address]*sums),
+		self:       self,
+		hash:       addressHash(self),
+		zone:       zone,
+		peers:      make(map[fleet.Address]*peer),
+		loads:      make(map[uint32]gate.BackendLoad),
+		aggregates: make(map[fleet.Address]*aggregate),
 
-		silent: make(map[fleet.Address]boottime.Instant),
+		unreachableSince: make(map[fleet.Address]boottime.Instant),
 	}
 }
 
@@ -87,63 +87,63 @@
 func (t *table) Load(incarnation uint32) gate.BackendLoad {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.sums[incarnation].Add(t.otherLoads[incarnation])
+	return t.loads[incarnation].Add(t.otherZoneLoads[incarnation])
 }
 
-// Routers implements gate.Peers. It returns the greatest number of late.
+// Routers implements gate.Peers. It returns the maximum of the last minute.
 func (t *table) Routers() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return max(t.most, 1)
+	return max(t.maxRouters, 1)
 }
 
-// gone returns the routers among those with entries that have not been heard
-// for so long that their entries may go.
-func (t *table) gone(entries []fleet.Address, now boottime.Instant) []fleet.Address {
+// expiredEntries returns the routers with a directory entry that have been unreachable
+// for longer than directoryEntryTTL.
+func (t *table) expiredEntries(entries []fleet.Address, now boottime.Instant) []fleet.Address {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	since := make(map[fleet.Address]boottime.Instant)
-	var gone []fleet.Address
+	unreachable := make(map[fleet.Address]boottime.Instant)
+	var expired []fleet.Address
 	for _, address := range entries {
 		peer := t.peers[address]
-		if address == t.self || (peer != nil && peer.heard != 0) {
+		if address == t.self || (peer != nil && peer.lastHeartbeat != 0) {
 			continue
 		}
-		began, known := t.silent[address]
+		unreachableAt, known := t.unreachableSince[address]
 		if !known {
-			began = now
+			unreachableAt = now
 		}
-		since[address] = began
-		if now.Sub(began) > entryLife {
-			gone = append(gone, address)
+		unreachable[address] = unreachableAt
+		if now.Sub(unreachableAt) > directoryEntryTTL {
+			expired = append(expired, address)
 		}
 	}
-	t.silent = since
-	return gone
+	t.unreachableSince = unreachable
+	return expired
 }
 
-// life returns how long after its last beat a router counts as heard. It grows
-// with the fleet, as the turns get rarer.
-func (t *table) life(peer *peer) time.Duration {
+// peerTimeout returns how long after its last heartbeat a router counts as reachable. It
+// grows with the fleet, in which heartbeats between two routers become less frequent.
+func (t *table) peerTimeout(peer *peer) time.Duration {
 	turns := 1
 	switch {
 	case peer.zone == t.zone:
-		turns = rounds(t.inZone, zoneBeats)
-	case len(t.peers) > smallFleet:
-		turns = rounds(len(t.peers), farBeats)
+		turns = roundsPerCycle(t.zoneRouters, maxZoneHeartbeats)
+	case len(t.peers) > smallFleetSize:
+		turns = roundsPerCycle(len(t.peers), maxRemoteHeartbeats)
 	}
-	return max(heardLife, time.Duration(turns*heardRounds)*beatInterval)
+	return max(minPeerTimeout, time.Duration(turns*peerTimeoutTurns)*heartbeatInterval)
 }
 
-// hears tells whether a router counts as heard.
-func (t *table) hears(peer *peer, now boottime.Instant) bool {
-	return peer.heard != 0 && now.Sub(peer.heard) < t.life(peer)
+// reachable reports whether the last heartbeat of a router is recent enough.
+func (t *table) reachable(peer *peer, now boottime.Instant) bool {
+	return peer.lastHeartbeat != 0 && now.Sub(peer.lastHeartbeat) < t.peerTimeout(peer)
 }
 
-// zoneUnknown stands for the zone of a router that is known by its address alone.
+// zoneUnknown is the zone of a router of which only the address is known.
 const zoneUnknown fleet.Zone = ""
 
-// add makes an address known. It returns false when it was known.
+// add adds an address. It reports whether the address is new.
 func (t *table) add(address fleet.Address, zone fleet.Zone, now boottime.Instant) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -156,36 +156,37 @@
 		}
 		return false
 	}
-	t.peers[address] = &peer{address: address, hash: hashOf(address), zone: zone, tried: now}
+	t.peers[address] = &peer{address: address, hash: addressHash(address), zone: zone, triedSince: now}
 	return true
 }
 
-// targets returns where beats go, and forgets addresses that never answer.
+// targets returns the routers to send heartbeats to, and removes addresses that do not
+// respond.
 func (t *table) targets(now boottime.Instant) []fleet.Address {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	targets := make([]fleet.Address, 0, len(t.peers))
-	t.inZone = 0
+	t.zoneRouters = 0
 	for address, peer := range t.peers {
-		if now.Sub(max(peer.heard, peer.tried)) > addressLife {
+		if now.Sub(max(peer.lastHeartbeat, peer.triedSince)) > addressTTL {
 			delete(t.peers, address)
 			continue
 		}
 		targets = append(targets, address)
 		if peer.zone == t.zone {
-			t.inZone++
+			t.zoneRouters++
 		}
 	}
 	return targets
 }
 
-// echoes returns the newest clocks of those routers that are heard.
+// echoes returns the newest clocks received from those of the routers that are reachable.
 func (t *table) echoes(routers []fleet.Address) *peeringpb.Echoes {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	echoes := &peeringpb.Echoes{}
 	for _, router := range routers {
-		if peer := t.peers[router]; peer != nil && peer.heard != 0 {
+		if peer := t.peers[router]; peer != nil && peer.lastHeartbeat != 0 {
 			echoes.Router = append(echoes.Router, peer.hash)
 			echoes.Clock = append(echoes.Clock, peer.clock)
 		}
@@ -193,11 +194,11 @@
 	return echoes
 }
 
-func hashOf(address fleet.Address) uint64 { return xxhash.Sum64String(string(address)) }
+func addressHash(address fleet.Address) uint64 { return xxhash.Sum64String(string(address)) }
 
-// take takes a beat. It returns false for one that came out of order, and
-// whether its router was not heard before.
-func (t *table) take(beat *peeringpb.Beat, now boottime.Instant) (taken, appeared bool) {
+// applyHeartbeat applies a heartbeat. accepted is false if it arrived out of order;
+// joined reports whether its sender was unreachable before.
+func (t *table) applyHeartbeat(beat *peeringpb.Beat, now boottime.Instant) (accepted, joined bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	address := fleet.Address(beat.Address)
@@ -206,104 +207,104 @@
 	}
 	known := t.peers[address]
 	if known == nil {
-		known = &peer{address: address, hash: hashOf(address)}
+		known = &peer{address: address, hash: addressHash(address)}
 		t.peers[address] = known
 	}
 	if beat.Incarnation < known.incarnation || (beat.Incarnation == known.incarnation && beat.Clock <= known.clock) {
 		return false, false
 	}
-	appeared = known.heard == 0
-	pacesBefore := known.use.paces
+	joined = known.lastHeartbeat == 0
+	pacesBefore := known.usage.paces
 	if beat.Incarnation != known.incarnation {
 		pacesBefore = paces{}
-		t.endChanges(address)
+		t.invalidateClock(address)
 	}
-	known.incarnation, known.clock, known.heard = beat.Incarnation, beat.Clock, now
-	t.heardLast = now
+	known.incarnation, known.clock, known.lastHeartbeat = beat.Incarnation, beat.Clock, now
+	t.lastHeartbeat = now
 	if beat.ContactAge >= 0 {
-		known.contact = now.Add(-time.Duration(beat.ContactAge))
+		known.storeContact = now.Add(-time.Duration(beat.ContactAge))
 	}
 	known.zone = fleet.Zone(beat.Zone)
-	t.replaceUse(known, use{
-		loads: decodeLoads(beat.Loads),
-		uses:  decodeUses(beat.Uses),
-		paces: decodePaces(beat.Paces, beat.Slowed, now).or(pacesBefore),
-		at:    now,
+	t.replaceUsage(known, usage{
+		loads:  decodeLoads(beat.Loads),
+		usages: decodeUsages(beat.Uses),
+		paces:  decodePaces(beat.Paces, beat.Slowed, now).orPrevious(pacesBefore),
+		at:     now,
 	})
-	t.takeHeld(known, beat.Held)
-	t.takeSums(decodeSums(beat.Sums, now), address)
-	t.takeChanges(beat.SumChanges, beat.Clock, address, now)
-	if appeared {
-		t.count(now)
+	t.setHeldClock(known, beat.Held)
+	t.setAggregate(decodeAggregate(beat.Sums, now), address)
+	t.applyDeltas(beat.SumChanges, beat.Clock, address, now)
+	if joined {
+		t.updateRouterCount(now)
 	}
-	return true, appeared
+	return true, joined
 }
 
-// replaceUse takes what a router uses. It counts nothing where its zone's sums are
-// told, which hold it already.
-func (t *table) replaceUse(known *peer, told use) {
-	t.subtract(known)
-	if slices.Contains(t.covered, known.zone) {
-		told = use{}
+// replaceUsage replaces the usage reported by a router. If an aggregate covers the
+// router's zone, its usage is included there and not counted again.
+func (t *table) replaceUsage(known *peer, reported usage) {
+	t.removeUsage(known)
+	if slices.Contains(t.coveredZones, known.zone) {
+		reported = usage{}
 	}
-	known.use = told
-	for backend, load := range told.loads {
-		t.sums[backend] = t.sums[backend].Add(load)
+	known.usage = reported
+	for backend, load := range reported.loads {
+		t.loads[backend] = t.loads[backend].Add(load)
 	}
 }
 
-func (t *table) subtract(known *peer) {
-	for backend, load := range known.use.loads {
-		rest := t.sums[backend].Add(gate.BackendLoad{Running: -load.Running, Pending: -load.Pending, Memory: -load.Memory})
+func (t *table) removeUsage(known *peer) {
+	for backend, load := range known.usage.loads {
+		rest := t.loads[backend].Add(gate.BackendLoad{Running: -load.Running, Pending: -load.Pending, Memory: -load.Memory})
 		if rest.Running <= 0 {
-			delete(t.sums, backend)
+			delete(t.loads, backend)
 			continue
 		}
-		t.sums[backend] = rest
+		t.loads[backend] = rest
 	}
-	known.use = use{}
+	known.usage = usage{}
 }
 
-// count notes the number of routers heard.
-func (t *table) count(now boottime.Instant) {
-	heard := 1
+// updateRouterCount updates the maximum number of reachable routers.
+func (t *table) updateRouterCount(now boottime.Instant) {
+	reachable := 1
 	for _, peer := range t.peers {
-		if t.hears(peer, now) {
-			heard++
+		if t.reachable(peer, now) {
+			reachable++
 		}
 	}
-	if heard >= t.most || now.Sub(t.mostAt) > countLife {
-		t.most, t.mostAt = heard, now
+	if reachable >= t.maxRouters || now.Sub(t.maxRoutersAt) > routerCountTTL {
+		t.maxRouters, t.maxRoutersAt = reachable, now
 	}
 }
 
-// expire returns the routers that are no longer heard.
+// expire marks routers without recent heartbeats as unreachable and returns them.
 func (t *table) expire(now boottime.Instant) []fleet.Address {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var lost []fleet.Address
 	for address, peer := range t.peers {
-		if peer.heard == 0 || t.hears(peer, now) {
+		if peer.lastHeartbeat == 0 || t.reachable(peer, now) {
 			continue
 		}
-		t.subtract(peer)
-		delete(t.told, address)
-		peer.heard = 0
+		t.removeUsage(peer)
+		delete(t.aggregates, address)
+		peer.lastHeartbeat = 0
 		peer.clock = 0
-		peer.tried = now
+		peer.triedSince = now
 		lost = append(lost, address)
 	}
-	t.count(now)
+	t.updateRouterCount(now)
 	return lost
 }
 
-// heard returns the addresses of the routers that are heard.
-func (t *table) heard(now boottime.Instant) []fleet.Address {
+// reachableRouters returns the addresses of the reachable routers.
+func (t *table) reachableRouters(now boottime.Instant) []fleet.Address {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var addresses []fleet.Address
 	for address, peer := range t.peers {
-		if t.hears(peer, now) {
+		if t.reachable(peer, now) {
 			addresses = append(addresses, address)
 		}
 	}
--- a/internal/peering/traffic.go
+++ b/internal/peering/traffic.go
@@ -14,28 +14,28 @@
 	"github.com/bluebellchute/bluebellchute/internal/peering/peeringpb"
 )
 
-// message names what routers tell each other, for counts.
-type message string
+// messageKind is the kind of a message between routers, as a metric label.
+type messageKind string
 
 const (
-	messageBeat    message = "beat"    // freshness, and the sender's own use within its zone
-	messageSums    message = "sums"    // a beat that carries the use of whole zones
-	messagePull    message = "pull"    // knowledge taken from another router, told whole
-	messageChanges message = "changes" // the same, told as changes
+	messageHeartbeat messageKind = "beat"    // a heartbeat with the sender's own usage, within its zone, or with none
+	messageAggregate messageKind = "sums"    // a heartbeat that carries aggregates of zones
+	messagePull      messageKind = "pull"    // fleet state pulled from another router, in full
+	messageChanges   messageKind = "changes" // the same, as changes
 )
 
-// trafficInterval is the pause between two records of what routers told each other.
-const trafficInterval = 10 * time.Second
+// trafficLogInterval is the interval between log entries on traffic between routers.
+const trafficLogInterval = 10 * time.Second
 
-// traffic counts what this router tells others by beats, and takes from them by calls.
+// traffic counts the heartbeats that this router sends and the replies that it pulls.
 type traffic struct {
 	logger   logrus.FieldLogger
 	bytes    *prometheus.CounterVec
 	messages *prometheus.CounterVec
 
-	mu    sync.Mutex
-	since map[string]int // bytes since the last record, by message and zone
-	next  boottime.Instant
+	mu            sync.Mutex
+	bytesSinceLog map[string]int // by message kind and zone
+	nextLogAt     boottime.Instant
 }
 
 func newTraffic(logger logrus.FieldLogger, now boottime.Instant) *traffic {
@@ -44,19 +44,20 @@
 		logger: logger,
 		bytes: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "bluebell_gate_peer_bytes_total",
-			Help: "Bytes of beats sent to other routers and of knowledge taken from them, by message and availability zone (own or other).",
+			Help: "Bytes of heartbeats sent to other routers and of fleet state pulled from them, by message and availability zone (own or other).",
 		}, labels),
 		messages: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "bluebell_gate_peer_messages_total",
-			Help: "Beats sent to other routers and calls for knowledge that they answered, by message and availability zone (own or other).",
+			Help: "Heartbeats sent to other routers and pulls that they answered, by message and availability zone (own or other).",
 		}, labels),
-		since: make(map[string]int),
-		next:  now.Add(trafficInterval),
+		bytesSinceLog: make(map[string]int),
+		nextLogAt:     now.Add(trafficLogInterval),
 	}
 }
 
-// count counts a message of the size to or from a router of the own zone or another.
-func (t *traffic) count(what message, own bool, size int) {
+// count counts a message of the given size, sent to or pulled from a router of this zone
+// or another.
+func (t *traffic) count(what messageKind, own bool, size int) {
 	zone := "other"
 	if own {
 		zone = "own"
@@ -65,22 +66,22 @@
 	t.messages.WithLabelValues(string(what), zone).Inc()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.since[string(what)+" "+zone] += size
+	t.bytesSinceLog[string(what)+" "+zone] += size
 }
 
-// log logs what was counted, if the last record is old enough.
+// log writes the byte counts if trafficLogInterval has passed since the last entry.
 func (t *traffic) log(now boottime.Instant) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if now < t.next || len(t.since) == 0 {
+	if now < t.nextLogAt || len(t.bytesSinceLog) == 0 {
 		return
 	}
-	t.next = now.Add(trafficInterval)
-	event.GatePeerTraffic.Log(t.logger, logrus.Fields{"bytes": t.since})
-	t.since = make(map[string]int)
+	t.nextLogAt = now.Add(trafficLogInterval)
+	event.GatePeerTraffic.Log(t.logger, logrus.Fields{"bytes": t.bytesSinceLog})
+	t.bytesSinceLog = make(map[string]int)
 }
 
-// countPulled counts knowledge that a router told.
+// countPulled counts a reply that was pulled from a router.
 func (m *Manager) countPulled(router fleet.Address, reply *peeringpb.PullReply) {
 	what := messagePull
 	if reply.Changes {
@@ -89,12 +90,12 @@
 	m.traffic.count(what, m.inOwnZone(router), proto.Size(reply))
 }
 
-// Register adds the counts of messages to the registry.
+// Register registers the message counters.
 func (m *Manager) Register(registerer prometheus.Registerer) {
 	registerer.MustRegister(m.traffic.bytes, m.traffic.messages)
 }
 
-// inOwnZone tells whether a router is known to be of this zone.
+// inOwnZone reports whether a router is known to be in this zone.
 func (t *table) inOwnZone(router fleet.Address) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/peering/traffic_bench_test.go
+++ b/internal/peering/traffic_bench_test.go
@@ -16,78 +16,78 @@
 	"github.com/bluebellchute/bluebellchute/internal/shares"
 )
 
-// fleetSize is a fleet and the requests that its callers make.
-type fleetSize struct {
+// workloadSize is the size of a fleet and of its workload.
+type workloadSize struct {
 	name                  string
 	zones, perZone        int
 	engines               int
 	accounts, backlogged  int
 	requestsPerSecond     int
-	quietRounds, measured int // rounds before the requests begin, and rounds that count
+	quietRounds, measured int // rounds before the first request, and measured rounds
 }
 
 var (
-	hundredRouters = fleetSize{name: "100 routers", zones: 5, perZone: 20, engines: 180, accounts: 100, backlogged: 10, requestsPerSecond: 480, quietRounds: 60, measured: 20}
-	wholeFleet     = fleetSize{name: "355 routers", zones: 5, perZone: 71, engines: 640, accounts: 333, backlogged: 33, requestsPerSecond: 1700, quietRounds: 100, measured: 20}
-	inTwoYears     = fleetSize{name: "two years", zones: 4, perZone: 87, engines: 630, accounts: 1700, backlogged: 170, requestsPerSecond: 3100, quietRounds: 60, measured: 20}
+	hundredRouters = workloadSize{name: "100 routers", zones: 5, perZone: 20, engines: 180, accounts: 100, backlogged: 10, requestsPerSecond: 480, quietRounds: 60, measured: 20}
+	wholeFleet     = workloadSize{name: "355 routers", zones: 5, perZone: 71, engines: 640, accounts: 333, backlogged: 33, requestsPerSecond: 1700, quietRounds: 100, measured: 20}
+	inTwoYears     = workloadSize{name: "two years", zones: 4, perZone: 87, engines: 630, accounts: 1700, backlogged: 170, requestsPerSecond: 3100, quietRounds: 60, measured: 20}
 )
 
 const (
-	// backloggedShare is the share of requests that the backlogged accounts make, and
-	// refusedRequests is how many requests of theirs are refused for each that is sent.
+	// backloggedShare is the fraction of requests made by backlogged accounts, and
+	// refusedRequests the number of their refused requests for each request that is sent.
 	backloggedShare = 0.6
 	refusedRequests = 2
-	// readTime is the time until the first event of an answer, answerTime the mean time
-	// until its end, and answerTokens its tokens.
-	readTime     = 300 * time.Millisecond
-	answerTime   = 8 * time.Second
-	answerTokens = 419
-	// warmRounds are the rounds with requests before figures are taken.
-	warmRounds = 30
+	// firstEventDelay is the time until the first event of an answer, meanAnswerTime the
+	// mean time from there to its end, and answerTokens its number of tokens.
+	firstEventDelay = 300 * time.Millisecond
+	meanAnswerTime  = 8 * time.Second
+	answerTokens    = 419
+	// warmUpRounds is the number of rounds with requests before the measured ones.
+	warmUpRounds = 30
 )
 
-// callers make requests at the routers of a fabric in simulated time.
-type callers struct {
-	fabric  *fabric
-	size    fleetSize
+// workload makes requests at the routers of a simNetwork in simulated time.
+type workload struct {
+	sim     *simNetwork
+	size    workloadSize
 	random  *rand.Rand
-	locals  []*calledLocal
-	pending []calledRequest // prompt not read yet
-	running []calledRequest
+	locals  []*ledgerLocal
+	pending []simRequest // prompt not processed yet
+	running []simRequest
 }
 
-// calledRequest is a request at an engine.
-type calledRequest struct {
-	at     *calledLocal
-	engine uint32
-	prompt float64
-	read   boottime.Instant
-	ends   boottime.Instant
+// simRequest is a request at an engine.
+type simRequest struct {
+	at           *ledgerLocal
+	engine       uint32
+	prompt       float64
+	promptReadAt boottime.Instant
+	endsAt       boottime.Instant
 }
 
-// calledLocal is a router with requests that begin and end.
-type calledLocal struct {
+// ledgerLocal is a router whose requests start and end.
+type ledgerLocal struct {
 	*busyLocal
-	fabric *fabric
+	sim    *simNetwork
 	ledger *shares.Ledger
-	heard  map[fleet.Address]map[fleet.Account]shares.Usage
+	usages map[fleet.Address]map[fleet.Account]shares.Usage
 }
 
-func (l *calledLocal) Usages() map[fleet.Account]shares.Usage { return l.ledger.Own(l.fabric.now) }
-func (l *calledLocal) SetUsages(router fleet.Address, uses map[fleet.Account]shares.Usage) {
-	if router == elsewhere {
-		l.heard[router] = uses
+func (l *ledgerLocal) Usages() map[fleet.Account]shares.Usage { return l.ledger.Own(l.sim.now) }
+func (l *ledgerLocal) SetUsages(router fleet.Address, usages map[fleet.Account]shares.Usage) {
+	if router == otherZones {
+		l.usages[router] = usages
 	}
 }
 
-func newCallers(f *fabric, size fleetSize) *callers {
-	c := &callers{fabric: f, size: size, random: rand.New(rand.NewPCG(1, 2))}
+func newWorkload(f *simNetwork, size workloadSize) *workload {
+	c := &workload{sim: f, size: size, random: rand.New(rand.NewPCG(1, 2))}
 	for _, address := range f.addresses() {
-		local := &calledLocal{
+		local := &ledgerLocal{
 			busyLocal: newBusyLocal(0, 1, 1),
-			fabric:    f,
+			sim:       f,
 			ledger:    shares.NewLedger(),
-			heard:     make(map[fleet.Address]map[fleet.Account]shares.Usage),
+			usages:    make(map[fleet.Address]map[fleet.Account]shares.Usage),
 		}
 		f.routers[address].SetLocal(local)
 		c.locals = append(c.locals, local)
@@ -95,8 +95,8 @@
 	return c
 }
 
-// account draws the account of a request and tells whether it is backlogged.
-func (c *callers) account() (fleet.Account, bool) {
+// drawAccount draws the account of a request and reports whether it is backlogged.
+func (c *workload) drawAccount() (fleet.Account, bool) {
 	number := c.random.IntN(c.size.accounts-c.size.backlogged) + c.size.backlogged
 	backlogged := c.random.Float64() < backloggedShare
 	if backlogged {
@@ -105,14 +105,14 @@
 	return fleet.Account(fmt.Sprint("account-", number)), backlogged
 }
 
-// begin begins a request.
-func (c *callers) begin() {
-	now := c.fabric.now
+// startRequest starts a request.
+func (c *workload) startRequest() {
+	now := c.sim.now
 	local := c.locals[c.random.IntN(len(c.locals))]
 	engine := knowledge.IncarnationHash(fmt.Sprint("i-", c.random.IntN(c.size.engines)))
-	request := calledRequest{at: local, engine: engine, prompt: 500 + 3000*c.random.Float64(), read: now.Add(readTime)}
-	request.ends = request.read.Add(time.Duration(-math.Log(1-c.random.Float64()) * float64(answerTime)))
-	account, backlogged := c.account()
+	request := simRequest{at: local, engine: engine, prompt: 500 + 3000*c.random.Float64(), promptReadAt: now.Add(firstEventDelay)}
+	request.endsAt = request.promptReadAt.Add(time.Duration(-math.Log(1-c.random.Float64()) * float64(meanAnswerTime)))
+	account, backlogged := c.drawAccount()
 	tokens := request.prompt + answerTokens
 	local.ledger.AddRequested(account, tokens, now)
 	local.ledger.AddGranted(account, tokens, now)
@@ -123,26 +123,26 @@
 	c.pending = append(c.pending, request)
 }
 
-func (l *calledLocal) add(engine uint32, load gate.BackendLoad) {
+func (l *ledgerLocal) add(engine uint32, load gate.BackendLoad) {
 	l.loads[engine] = l.loads[engine].Add(load)
 	if l.loads[engine].Running == 0 {
 		delete(l.loads, engine)
 	}
 }
 
-// pass lets the requests go on until the moment of the fabric.
-func (c *callers) pass() {
-	now := c.fabric.now
-	c.pending = slices.DeleteFunc(c.pending, func(request calledRequest) bool {
-		if request.read > now {
+// advance advances the requests to the time of the network.
+func (c *workload) advance() {
+	now := c.sim.now
+	c.pending = slices.DeleteFunc(c.pending, func(request simRequest) bool {
+		if request.promptReadAt > now {
 			return false
 		}
 		request.at.add(request.engine, gate.BackendLoad{Pending: -request.prompt})
 		c.running = append(c.running, request)
 		return true
 	})
-	c.running = slices.DeleteFunc(c.running, func(request calledRequest) bool {
-		if request.ends > now {
+	c.running = slices.DeleteFunc(c.running, func(request simRequest) bool {
+		if request.endsAt > now {
 			return false
 		}
 		request.at.add(request.engine, gate.BackendLoad{Running: -1, Memory: -request.prompt - answerTokens})
@@ -150,73 +150,73 @@
 	})
 }
 
-// play plays rounds with requests.
-func (c *callers) play(rounds int) {
+// run runs rounds with requests.
+func (c *workload) run(rounds int) {
 	for range rounds {
-		for range c.size.requestsPerSecond / int(time.Second/beatInterval) {
-			c.begin()
+		for range c.size.requestsPerSecond / int(time.Second/heartbeatInterval) {
+			c.startRequest()
 		}
-		c.fabric.play(1)
-		c.pass()
+		c.sim.run(1)
+		c.advance()
 	}
 }
 
-// fill begins as many requests as run in the mean.
-func (c *callers) fill() {
-	for range int(answerTime.Seconds()) * c.size.requestsPerSecond {
-		c.begin()
+// startBacklog starts as many requests as run on average.
+func (c *workload) startBacklog() {
+	for range int(meanAnswerTime.Seconds()) * c.size.requestsPerSecond {
+		c.startRequest()
 	}
 }
 
-// callFleet returns a fleet in which all know each other and callers have made requests for
-// a while.
-func callFleet(tb testing.TB, size fleetSize) (*fabric, *callers) {
-	f := newFabric(tb, size.zones, size.perZone)
-	c := newCallers(f, size)
-	f.play(size.quietRounds)
-	c.fill()
-	c.play(warmRounds)
+// startLoadedFleet returns a fleet in which all routers know each other and requests have
+// been made for warmUpRounds.
+func startLoadedFleet(tb testing.TB, size workloadSize) (*simNetwork, *workload) {
+	f := newSimNetwork(tb, size.zones, size.perZone)
+	c := newWorkload(f, size)
+	f.run(size.quietRounds)
+	c.startBacklog()
+	c.run(warmUpRounds)
 	for _, router := range f.routers {
-		clear(router.traffic.since)
+		clear(router.traffic.bytesSinceLog)
 	}
 	return f, c
 }
 
-// BenchmarkTrafficByMessage is what a router sends in a second, by message and availability
-// zone of the receiver, and the sums that it hears: one that sums its zone, and the others
-// in the mean.
+// BenchmarkTrafficByMessage measures the bytes that a router sends per second, by message
+// kind and zone of the receiver, and the aggregates that it receives: for aggregators,
+// and the mean of the other routers.
 func BenchmarkTrafficByMessage(b *testing.B) {
-	for _, size := range []fleetSize{hundredRouters, wholeFleet, inTwoYears} {
-		f, c := callFleet(b, size)
-		heard := make(map[*Manager]int)
-		f.took = func(beat *peeringpb.Beat, bytes int, to *Manager) {
-			if carriesSums(beat) {
-				heard[to] += bytes
+	for _, size := range []workloadSize{hundredRouters, wholeFleet, inTwoYears} {
+		f, c := startLoadedFleet(b, size)
+		received := make(map[*Manager]int)
+		f.onHeartbeat = func(beat *peeringpb.Beat, bytes int, to *Manager) {
+			if carriesAggregate(beat) {
+				received[to] += bytes
 			}
 		}
-		c.play(size.measured)
-		seconds := float64(size.measured) * beatInterval.Seconds()
+		c.run(size.measured)
+		seconds := float64(size.measured) * heartbeatInterval.Seconds()
 		for _, role := range []string{"summing", "other"} {
 			b.Run(fmt.Sprintf("%s, %s", size.name, role), func(b *testing.B) {
 				for b.Loop() {
-					reportTraffic(b, f, heard, role == "summing", seconds)
+					reportTraffic(b, f, received, role == "summing", seconds)
 				}
 			})
 		}
 	}
 }
 
-// reportTraffic reports the mean over the routers of a role.
-func reportTraffic(b *testing.B, f *fabric, heard map[*Manager]int, summing bool, seconds float64) {
-	routers, sums := 0, 0
+// reportTraffic reports the mean over aggregators or over the other routers.
+func reportTraffic(b *testing.B, f *simNetwork, received map[*Manager]int, summing bool, seconds float64) {
+	routers, receivedBytes := 0, 0
 	sent := make(map[string]int)
 	for _, router := range f.routers {
-		if router.summing(f.now) != summing {
+		if router.isAggregator(f.now) != summing {
 			continue
 		}
 		routers++
-		sums += heard[router]
-		for what, bytes := range router.traffic.since {
+		receivedBytes += received[router]
+		for what, bytes := range router.traffic.bytesSinceLog {
 			sent[what] += bytes
 		}
 	}
@@ -224,8 +224,8 @@
 	for _, what := range []string{"beat own", "beat other", "sums own", "sums other"} {
 		b.ReportMetric(float64(sent[what])/perRouter, "KB-"+what[:4]+"-"+what[5:])
 	}
-	b.ReportMetric(float64(sums)/perRouter, "KB-sums-heard")
+	b.ReportMetric(float64(receivedBytes)/perRouter, "KB-sums-heard")
 }
 
-// carriesSums tells whether a beat carries the use of whole zones.
-func carriesSums(beat *peeringpb.Beat) bool { return beat.Sums != nil || beat.SumChanges != nil }
+// carriesAggregate reports whether a heartbeat carries aggregates of zones.
+func carriesAggregate(beat *peeringpb.Beat) bool { return beat.Sums != nil || beat.SumChanges != nil }
