--- a/internal/event/catalogue.go
+++ b/internal/event/catalogue.go
@@ -6,6 +6,6 @@
 // membership, 5000 platform, 6000 stand-ins, 7000 load generator.
 var (
 	Started  = Event{1001, logrus.InfoLevel, "started"}
-	Draining = Event{1002, logrus.InfoLevel, "draining: no new work is taken"}
+	Draining = Event{1002, logrus.InfoLevel, "draining: no new work is accepted"}
 	Stopped  = Event{1003, logrus.InfoLevel, "stopped"}
 )
--- a/internal/event/catalogue_test.go
+++ b/internal/event/catalogue_test.go
@@ -16,14 +16,14 @@
 
 const repositoryRoot = "../.."
 
-// record is one event as the code or the page has it.
+// record is one event as the code or the page defines it.
 type record struct {
 	level   string
 	message string
 }
 
-// TestCataloguePage checks that docs/EVENTS.md lists exactly the events of the
-// code, with their numbers, levels and messages.
+// TestCataloguePage checks that docs/EVENTS.md lists exactly the events in the code, with
+// their numbers, levels and messages.
 func TestCataloguePage(t *testing.T) {
 	code := eventsInCode(t)
 	page := eventsOnPage(t)
@@ -42,8 +42,8 @@
 	}
 }
 
-// eventsInCode finds all literals of Event. Those outside of this package
-// would escape the catalogue and are errors.
+// eventsInCode returns all literals of Event by number. Literals outside of this package
+// would be missing from the catalogue and are errors.
 func eventsInCode(t *testing.T) map[int]record {
 	t.Helper()
 	events := make(map[int]record)
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -1,5 +1,5 @@
-// Package event writes the numbered log events of the system. docs/EVENTS.md
-// is their catalogue; a test keeps the two the same.
+// Package event defines and writes the numbered log events of the system. docs/EVENTS.md is
+// their catalogue; a test compares the two.
 package event
 
 import (
@@ -9,8 +9,8 @@
 // Event is one kind of log record.
 type Event struct {
 	Number  int          // never reused
-	Level   logrus.Level // the level at which it is written
-	Message string       // constant text; details are fields
+	Level   logrus.Level // level at which it is written
+	Message string       // constant text; details go into fields
 }
 
 // Log writes the event with its number and the fields.
--- a/internal/peering/peer_log_test.go
+++ b/internal/peering/peer_log_test.go
@@ -29,7 +29,7 @@
 	records.addLost("10.0.0.1:1")
 	records.log(now.Add(time.Minute))
 	lines := strings.Count(logs.String(), "\n")
-	if lines > 5 || !strings.Contains(logs.String(), "no longer heard") || !strings.Contains(logs.String(), "count=119") {
+	if lines > 5 || !strings.Contains(logs.String(), "routers unreachable") || !strings.Contains(logs.String(), "count=119") {
 		t.Errorf("%d records: %s", lines, logs.String())
 	}
 }
