--- a/internal/gate/acceptor_test.go
+++ b/internal/gate/acceptor_test.go
@@ -21,7 +21,7 @@
 	"github.com/bluebellchute/bluebellchute/internal/policy"
 )
 
-// noPeers is a fleet of one router.
+// noPeers is the Peers of a fleet with one router.
 type noPeers struct{}
 
 func (noPeers) Load(uint32) BackendLoad                            { return BackendLoad{} }
@@ -32,7 +32,7 @@
 func (noPeers) Order(uint64) (int, int)                            { return 0, 1 }
 func (noPeers) Settled() bool                                      { return true }
 
-// plainDialect takes requests as they are.
+// plainDialect decodes requests as they are.
 type plainDialect struct{}
 
 func (plainDialect) Decode(r *http.Request) (*Request, error) {
@@ -42,7 +42,7 @@
 func (plainDialect) Reply(int, http.Header) Reply               { return Reply{Signed: true} }
 func (plainDialect) StripSignature(http.Header)                 {}
 
-// listeningGate runs a gate with the number of connections and returns its
+// listeningGate runs a gate with the given maximum number of connections and returns its
 // address.
 func listeningGate(t *testing.T, connections int) (*Manager, string) {
 	t.Helper()
@@ -114,12 +114,10 @@
 	return response
 }
 
-// Symptom: requests wait a second for their connection and are sent on after
-// their callers have left.
-// Events: callers that come back open a connection each time and leave it
-// open.
-// Cause: all connections that the router accepts were taken by idle ones.
-func TestIdleConnectionsDoNotTakeAllPlaces(t *testing.T) {
+// Guards against requests that wait a second for a connection and are forwarded after their
+// callers have disconnected. This happens when callers that retry open a new connection
+// each time, leave it open, and so use up the maximum.
+func TestIdleConnectionsLeaveRoomForNewOnes(t *testing.T) {
 	_, address := listeningGate(t, 10)
 	for i := range 30 {
 		conn, err := net.Dial("tcp", address)
@@ -135,12 +133,12 @@
 			t.Errorf("status %d", response.StatusCode)
 		}
 		if i < 3 && response.Close {
-			t.Errorf("connection %d is closed after its answer though there is room", i)
+			t.Errorf("connection %d is closed after its answer though few are open", i)
 		}
 	}
 }
 
-// contactPeers are other routers that the store answered at a moment.
+// contactPeers are other routers that the store last answered at the given time.
 type contactPeers struct {
 	noPeers
 	contact boottime.Instant
@@ -148,10 +146,8 @@
 
 func (p contactPeers) StoreContact() boottime.Instant { return p.contact }
 
-// Symptom: callers of some routers are served badly, and others wait for
-// engines that work for them.
-// Events: the store answers some routers and not others.
-// Cause: the balancer went on sending callers to all.
+// Guards against serving callers badly at routers that the store does not answer while it
+// answers others: the load balancer must not send callers to them.
 func TestRouterWithoutStoreLeavesCallersToOthers(t *testing.T) {
 	known := knowledge.NewState()
 	now := boottime.Now()
@@ -183,30 +179,29 @@
 	}
 }
 
-// Symptom: a request gets no answer around a planned stop.
-// Events: the process is told to stop; the balancer goes on sending
-// connections until it has asked for readiness twice.
-// Cause: connections were no longer accepted.
-func TestConnectionsAreTakenUntilTheBalancerHasHeard(t *testing.T) {
+// Guards against unanswered requests around a planned stop: the load balancer goes on
+// sending connections until two readiness checks have failed, so they must still be
+// accepted.
+func TestConnectionsAreAcceptedUntilTheLoadBalancerNotices(t *testing.T) {
 	manager, address := listeningGate(t, 10)
-	kept, err := net.Dial("tcp", address)
+	keptAlive, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer kept.Close()
-	if response := ask(t, kept); response.Close {
-		t.Error("a connection is closed without need")
+	defer keptAlive.Close()
+	if response := ask(t, keptAlive); response.Close {
+		t.Error("a connection is closed unnecessarily")
 	}
 	drained := make(chan error, 1)
 	go func() { drained <- manager.Drain(context.Background()) }()
 	time.Sleep(500 * time.Millisecond)
 	if manager.options.Readiness.NotReady() == "" {
-		t.Error("the balancer is not told")
+		t.Error("the readiness is not withdrawn")
 	}
-	// Closing idle connections at once would cut requests whose heads have
-	// just been read.
-	if response := ask(t, kept); !response.Close {
-		t.Error("a kept connection stays open after its answer though the process stops")
+	// Closing idle connections immediately would cut off requests whose headers have just
+	// been read.
+	if response := ask(t, keptAlive); !response.Close {
+		t.Error("a keep-alive connection stays open after its answer though the process stops")
 	}
 	late, err := net.Dial("tcp", address)
 	if err != nil {
@@ -214,14 +209,14 @@
 	}
 	defer late.Close()
 	if response := ask(t, late); !response.Close {
-		t.Error("a connection is kept though the process stops")
+		t.Error("a new connection stays open after its answer though the process stops")
 	}
 	if err := <-drained; err != nil {
 		t.Error(err)
 	}
 }
 
-func TestLimitsOfNewConfigurationHold(t *testing.T) {
+func TestLimitsOfNewConfigurationApply(t *testing.T) {
 	manager, address := listeningGate(t, 10)
 	manager.acceptor.applyLimits(knowledge.Limits{HeaderBytes: 1 << 10, HeaderTimeout: 100 * time.Millisecond, IdleTimeout: 100 * time.Millisecond})
 	conn, err := net.Dial("tcp", address)
@@ -239,7 +234,7 @@
 	}
 }
 
-// fakeCPU stands still or not as a test says.
+// fakeCPU is a cpuMonitor whose state is set by a test.
 type fakeCPU struct {
 	isStalled  atomic.Bool
 	sheddings  atomic.Int64
@@ -252,64 +247,62 @@
 
 func (p *fakeCPU) recordRecovery(time.Duration) { p.recoveries.Add(1) }
 
-// Symptom: requests in hand are late, and callers wait for a second to find that
-// a router does not serve them.
-// Events: one small VM gets more callers than it can even refuse.
-// Cause: all were accepted, or left waiting to be.
-func TestCallersAreTurnedAwayWhileRequestsStandStill(t *testing.T) {
-	load := new(fakeCPU)
+// Guards against accepting connections, or letting them wait to be accepted, while a small
+// VM gets more callers than it can even refuse: requests in progress would be late, and
+// callers would wait a second before they try another router.
+func TestConnectionsAreRefusedWhileRequestsAreStalled(t *testing.T) {
+	cpu := new(fakeCPU)
 	handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNoContent) })
 	address := freeAddress(t)
-	e := newAcceptor(handler, 100, load, newDrainState())
+	e := newAcceptor(handler, 100, cpu, newDrainState())
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- e.run(ctx, fleet.Address(address)) }()
 	t.Cleanup(func() { cancel(); <-ended })
 	awaitListener(t, address)
 	time.Sleep(10 * time.Millisecond) // the next accept has begun
-	load.isStalled.Store(true)
+	cpu.isStalled.Store(true)
 	first := dial(t, address)
 	if !answersWithin(t, first, time.Second) {
-		t.Fatal("the connection that was awaited already has no answer")
+		t.Fatal("the connection that accept was already waiting for has no answer")
 	}
 	time.Sleep(50 * time.Millisecond)
 	if conn, err := net.Dial("tcp", address); err == nil {
 		conn.Close()
-		t.Error("a caller is connected though requests in hand stand still")
+		t.Error("a connection is accepted though requests in progress are stalled")
 	}
-	if load.sheddings.Load() != 1 {
-		t.Errorf("the balancer hears of %d overloads, want one", load.sheddings.Load())
+	if cpu.sheddings.Load() != 1 {
+		t.Errorf("%d overloads are recorded, want one", cpu.sheddings.Load())
 	}
-	load.isStalled.Store(false)
+	cpu.isStalled.Store(false)
 	awaitListener(t, address)
 	if !answersWithin(t, dial(t, address), time.Second) {
-		t.Error("a caller is not served after the standstill")
+		t.Error("a caller is not served after the stall")
 	}
-	if load.recoveries.Load() != 1 {
-		t.Errorf("%d reliefs are told, want one", load.recoveries.Load())
+	if cpu.recoveries.Load() != 1 {
+		t.Errorf("%d recoveries are recorded, want one", cpu.recoveries.Load())
 	}
 }
 
-// Symptom: a router that is told to stop while it turns callers away goes on to
-// listen, and never ends.
-// Events: an overload; the signal to stop; the overload ends.
-func TestStopWhileCallersAreTurnedAway(t *testing.T) {
-	load := new(fakeCPU)
-	load.isStalled.Store(true)
+// Guards against a router that is stopped while it refuses connections, and then listens
+// again when the overload ends, or never ends.
+func TestStopWhileConnectionsAreRefused(t *testing.T) {
+	cpu := new(fakeCPU)
+	cpu.isStalled.Store(true)
 	address := freeAddress(t)
-	e := newAcceptor(http.NotFoundHandler(), 100, load, newDrainState())
+	e := newAcceptor(http.NotFoundHandler(), 100, cpu, newDrainState())
 	ended := make(chan error, 1)
 	go func() { ended <- e.run(t.Context(), fleet.Address(address)) }()
 	time.Sleep(20 * time.Millisecond)
 	e.stopAccepting()
-	load.isStalled.Store(false)
+	cpu.isStalled.Store(false)
 	select {
 	case err := <-ended:
 		if err != nil {
 			t.Error(err)
 		}
 	case <-time.After(time.Second):
-		t.Fatal("the entry does not end")
+		t.Fatal("the acceptor does not end")
 	}
 	if conn, err := net.Dial("tcp", address); err == nil {
 		conn.Close()
@@ -330,20 +323,19 @@
 	return conn
 }
 
-// answersWithin tells whether a first byte comes in time.
-func answersWithin(t *testing.T, conn net.Conn, most time.Duration) bool {
+// answersWithin reports whether the first byte of an answer comes in time.
+func answersWithin(t *testing.T, conn net.Conn, timeout time.Duration) bool {
 	t.Helper()
-	if err := conn.SetReadDeadline(time.Now().Add(most)); err != nil {
+	if err := conn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 		t.Fatal(err)
 	}
 	_, err := conn.Read(make([]byte, 1))
 	return err == nil
 }
 
-// Symptom: callers are refused while an operator empties a router.
-// Events: the order to drain comes; the balancer has not heard yet.
-// Cause: a drained router refused what still came.
-func TestDrainedRouterServesWhatComes(t *testing.T) {
+// Guards against refusing requests that still arrive at a router that an operator has
+// drained, before the load balancer notices.
+func TestDrainedRouterStillServesRequests(t *testing.T) {
 	manager, address := listeningGate(t, 10)
 	manager.options.State.SetConfiguration(knownView(boottime.Now()).Index.Configuration, boottime.Now())
 	manager.options.State.SetBackends(nil, knowledge.Position{Revision: 1}, boottime.Now())
@@ -357,7 +349,7 @@
 	defer conn.Close()
 	answer := ask(t, conn)
 	if answer.StatusCode != http.StatusNotFound || !answer.Close {
-		t.Errorf("status %d, closing %v; want the answer to an unknown route, and the connection's end", answer.StatusCode, answer.Close)
+		t.Errorf("status %d, closing %v; want the answer to an unknown route on a connection that is closed", answer.StatusCode, answer.Close)
 	}
 	manager.SetDrained(false, "ada", "")
 	awaitReason(t, manager, "")
--- a/internal/gate/caller_disconnect_test.go
+++ b/internal/gate/caller_disconnect_test.go
@@ -12,28 +12,28 @@
 )
 
 // silent never answers.
-func silent(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
+func neverAnswers(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 
-// headOnly answers with a head and a part of the body.
-func headOnly(w http.ResponseWriter, r *http.Request) {
+// headerOnly answers with a header and a part of the body.
+func headerOnly(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Content-Length", "100")
 	w.WriteHeader(http.StatusOK)
 	_ = http.NewResponseController(w).Flush()
 	<-r.Context().Done()
 }
 
-// endlessBody answers with a body that is too long to be held.
+// endlessBody answers with a body that is too long to be buffered.
 func endlessBody(w http.ResponseWriter, r *http.Request) {
-	piece := make([]byte, 1<<16)
+	chunk := make([]byte, 1<<16)
 	for r.Context().Err() == nil {
-		if _, err := w.Write(piece); err != nil {
+		if _, err := w.Write(chunk); err != nil {
 			return
 		}
 	}
 }
 
-// counted returns how many records of the event there are.
-func counted(hook *test.Hook, which event.Event) int {
+// logEntries returns the number of log entries of the event.
+func logEntries(hook *test.Hook, which event.Event) int {
 	count := 0
 	for _, entry := range hook.AllEntries() {
 		if entry.Data["event"] == which.Number {
@@ -43,17 +43,17 @@
 	return count
 }
 
-// Guards against records of failed backend servers when the caller has left.
+// Guards against logging a failure of the backend server when the caller has disconnected.
 func TestCallerThatLeavesIsNoFailureOfTheServer(t *testing.T) {
 	for name, exchange := range map[string]struct {
 		path  string
 		serve http.HandlerFunc
 	}{
-		"before the answer":       {"/whole/x", silent},
-		"in the middle of a body": {"/whole/x", headOnly},
+		"before the answer":       {"/whole/x", neverAnswers},
+		"in the middle of a body": {"/whole/x", headerOnly},
 		"in a long body":          {"/whole/x", endlessBody},
-		"before a stream":         {"/stream/x", silent},
-		"in a stream":             {"/stream/x", endless},
+		"before a stream":         {"/stream/x", neverAnswers},
+		"in a stream":             {"/stream/x", endlessStream},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -61,29 +61,30 @@
 			conn := g.connect(t)
 			go func() { _, _ = request(conn, exchange.path) }() // it gets no answer
 			awaitCount(t, "arrivals", func() int { return int(g.arrived.Load()) })
-			time.Sleep(50 * time.Millisecond) // until a head that is sent has come
+			time.Sleep(50 * time.Millisecond) // until a header that was sent has arrived
 			conn.Close()
-			awaitCount(t, "records of a caller that left", func() int { return counted(g.records, event.GateCallerDisconnected) })
+			awaitCount(t, "log entries of a disconnected caller", func() int { return logEntries(g.records, event.GateCallerDisconnected) })
 			for _, wrong := range []event.Event{event.GateSendFailed, event.GateStreamAborted, event.GateRefused} {
-				if count := counted(g.records, wrong); count != 0 {
-					t.Errorf("%d records of %q", count, wrong.Message)
+				if count := logEntries(g.records, wrong); count != 0 {
+					t.Errorf("%d log entries of %q", count, wrong.Message)
 				}
 			}
 		})
 	}
 }
 
-// Guards against records of failed backend servers when draining ends.
+// Guards against logging a failure of the backend server when the end of draining cancels a
+// request.
 func TestEndOfDrainingIsNoFailureOfTheServer(t *testing.T) {
 	t.Parallel()
-	g := startDrainingGate(t, 15*time.Second, endless)
+	g := startDrainingGate(t, 15*time.Second, endlessStream)
 	g.startStream(t)
 	if err := g.Drain(context.Background()); err == nil {
-		t.Error("the end tells of no request that was cut")
+		t.Error("Drain returns no error though a request was cancelled")
 	}
-	awaitCount(t, "streams broken off", func() int { return counted(g.records, event.GateStreamAborted) })
-	if count := counted(g.records, event.GateSendFailed); count != 0 {
-		t.Errorf("%d records of a failed server", count)
+	awaitCount(t, "aborted streams", func() int { return logEntries(g.records, event.GateStreamAborted) })
+	if count := logEntries(g.records, event.GateSendFailed); count != 0 {
+		t.Errorf("%d log entries of a failed server", count)
 	}
 }
 
--- a/internal/gate/connection_stats_test.go
+++ b/internal/gate/connection_stats_test.go
@@ -12,14 +12,14 @@
 	"github.com/bluebellchute/bluebellchute/internal/event"
 )
 
-// Guards against counts that are written twice, empty records while nothing is
-// opened, and idle times or stated timeouts that get lost.
-func TestConnectionsRecord(t *testing.T) {
+// Guards against counts that are logged twice, empty log entries while nothing is opened,
+// and lost idle times or stated timeouts.
+func TestConnectionStatsLog(t *testing.T) {
 	logger, hook := test.NewNullLogger()
 	counted := newConnectionStats(logger, prometheus.NewRegistry())
 	counted.logOpened()
 	if n := len(hook.AllEntries()); n != 0 {
-		t.Fatalf("%d records of no openings", n)
+		t.Fatalf("%d log entries without opened connections", n)
 	}
 	for _, opening := range []backendconn.Opening{
 		{Reason: backendconn.ReasonFirst},
@@ -31,7 +31,7 @@
 	counted.logOpened()
 	counted.logOpened()
 	if n := len(hook.AllEntries()); n != 1 {
-		t.Fatalf("%d records, want 1", n)
+		t.Fatalf("%d log entries, want 1", n)
 	}
 	fields := hook.LastEntry().Data
 	if fields["event"] != event.GateConnections.Number {
@@ -52,9 +52,9 @@
 	}
 }
 
-// Guards against metrics that are not registered, and against idle times of 0
-// from reasons that know none.
-func TestConnectionsMetrics(t *testing.T) {
+// Guards against metrics that are not registered, and against idle times of 0 for reasons
+// that have none.
+func TestConnectionStatsMetrics(t *testing.T) {
 	logger, _ := test.NewNullLogger()
 	registry := prometheus.NewRegistry()
 	counted := newConnectionStats(logger, registry)
--- a/internal/gate/crash_detector_test.go
+++ b/internal/gate/crash_detector_test.go
@@ -14,16 +14,16 @@
 	"github.com/bluebellchute/bluebellchute/internal/knowledge"
 )
 
-// breakStart is when the tests of this file begin.
-const breakStart = boottime.Instant(1_000_000 * time.Second)
+// testStart is the time at which the tests of this file begin.
+const testStart = boottime.Instant(1_000_000 * time.Second)
 
-func idle(string) serverReport     { return reportIdle }
-func busy(string) serverReport     { return reportRunning }
-func unlisted(string) serverReport { return reportUnlisted }
+func alwaysIdle(string) serverReport     { return reportIdle }
+func alwaysRunning(string) serverReport  { return reportRunning }
+func alwaysUnlisted(string) serverReport { return reportUnlisted }
 
-// watchFor calls judge as a router does that is not disturbed, and returns the moment
-// reached and what was judged.
-func watchFor(w *crashDetector, from boottime.Instant, lasts time.Duration, report func(string) serverReport) (boottime.Instant, []judgedResets) {
+// judgeFor calls judge at its normal interval. It returns the time reached and the judged
+// resets.
+func judgeFor(w *crashDetector, from boottime.Instant, lasts time.Duration, report func(string) serverReport) (boottime.Instant, []judgedResets) {
 	var judged []judgedResets
 	end := from.Add(lasts)
 	for now := from; now <= end; now = now.Add(judgeInterval) {
@@ -32,7 +32,7 @@
 	return end, judged
 }
 
-// verdictOf returns the one verdict, "" for none.
+// verdictOf returns the verdict if resets were judged once, "" for none.
 func verdictOf(t *testing.T, judged []judgedResets) resetVerdict {
 	t.Helper()
 	switch len(judged) {
@@ -45,134 +45,135 @@
 	return ""
 }
 
-// A request would be convicted before its server had time to show that it lives, or a
-// crash would never count.
-func TestSilentServerCountsAsDownAfterItsTime(t *testing.T) {
+// Guards against counting a crash before the server had time to show that it is alive, and
+// against never counting one.
+func TestSilentServerCountsAsDownAfterTimeout(t *testing.T) {
 	w := newCrashDetector()
-	w.addReset("a@1", 7, breakStart, breakStart.Add(time.Millisecond))
-	now, early := watchFor(w, breakStart, 1400*time.Millisecond, idle)
+	w.addReset("a@1", 7, testStart, testStart.Add(time.Millisecond))
+	now, early := judgeFor(w, testStart, 1400*time.Millisecond, alwaysIdle)
 	if got := verdictOf(t, early); got != "" || w.pendingFor(7) != 1 {
 		t.Errorf("%q within 1.4 s, %d pending", got, w.pendingFor(7))
 	}
-	_, judged := watchFor(w, now, 300*time.Millisecond, idle)
+	_, judged := judgeFor(w, now, 300*time.Millisecond, alwaysIdle)
 	if got := verdictOf(t, judged); got != resetServerDown || w.pendingFor(7) != 0 {
 		t.Errorf("%q after 1.7 s, %d pending", got, w.pendingFor(7))
 	}
 }
 
-// A router that sees little of a server's traffic would take its silence for a crash,
-// although other routers have requests there.
+// Guards against taking a server's silence for a crash at a router that sees little of its
+// traffic, although other routers have requests there.
 func TestServerThatRunsRequestsOfOthersIsNotDown(t *testing.T) {
 	w := newCrashDetector()
-	w.addReset("a@1", 7, breakStart, breakStart)
-	if _, judged := watchFor(w, breakStart, 3*time.Second, busy); verdictOf(t, judged) != resetServerWentOn {
+	w.addReset("a@1", 7, testStart, testStart)
+	if _, judged := judgeFor(w, testStart, 3*time.Second, alwaysRunning); verdictOf(t, judged) != resetServerWentOn {
 		t.Errorf("%+v", judged)
 	}
 }
 
-// A crash would be missed because other routers' figures of the server are still those of
-// the time before it.
-func TestOldFiguresOfOthersDoNotHideACrash(t *testing.T) {
+// Guards against missing a crash because other routers' reports on the server are still
+// those from before it.
+func TestStaleReportsDoNotHideACrash(t *testing.T) {
 	w := newCrashDetector()
-	w.addReset("a@1", 7, breakStart, breakStart)
-	now, judged := watchFor(w, breakStart, 2*time.Second, busy)
+	w.addReset("a@1", 7, testStart, testStart)
+	now, judged := judgeFor(w, testStart, 2*time.Second, alwaysRunning)
 	if verdictOf(t, judged) != "" {
-		t.Errorf("judged %+v while it is in doubt", judged)
+		t.Errorf("judged %+v while reports may be stale", judged)
 	}
-	if _, judged = watchFor(w, now, 700*time.Millisecond, idle); verdictOf(t, judged) != resetServerDown {
+	if _, judged = judgeFor(w, now, 700*time.Millisecond, alwaysIdle); verdictOf(t, judged) != resetServerDown {
 		t.Errorf("%+v", judged)
 	}
 }
 
-// A server with little to do would be taken for crashed because nothing runs there at one
-// look, or a crashed one for alive because a request is being refused by it at one look.
-func TestOneReportDecidesNothing(t *testing.T) {
+// Guards against taking a lightly loaded server for crashed because nothing runs there at
+// one check, or a crashed one for alive because at one check a request is just being
+// refused by it.
+func TestOneReportIsNotEnough(t *testing.T) {
 	for _, test := range []struct {
-		running int // of five looks
+		running int // of five checks
 		want    resetVerdict
 	}{{1, resetServerDown}, {2, resetServerWentOn}, {4, resetServerWentOn}} {
 		w := newCrashDetector()
-		// The last look comes 10 ms late, so six looks fall into the half second.
-		w.addReset("a@1", 7, breakStart, breakStart.Add(-10*time.Millisecond))
-		looks := 0
-		_, judged := watchFor(w, breakStart, 3*time.Second, func(string) serverReport {
-			looks++
-			if (looks-1)%5 < test.running {
+		// The last check comes 10 ms late, so six checks fall into the half second.
+		w.addReset("a@1", 7, testStart, testStart.Add(-10*time.Millisecond))
+		checks := 0
+		_, judged := judgeFor(w, testStart, 3*time.Second, func(string) serverReport {
+			checks++
+			if (checks-1)%5 < test.running {
 				return reportRunning
 			}
 			return reportIdle
 		})
 		if got := verdictOf(t, judged); got != test.want {
-			t.Errorf("%q with requests reported in %d of five looks, want %q", got, test.running, test.want)
+			t.Errorf("%q with requests reported in %d of five checks, want %q", got, test.running, test.want)
 		}
 	}
 }
 
-// A crash would be missed, or noticed late, because old figures outweigh the list.
+// Guards against missing a crash, or detecting it late, because stale reports take
+// precedence over the list of backend servers.
 func TestServerThatIsNoLongerListedIsDown(t *testing.T) {
 	w := newCrashDetector()
-	w.addReset("a@1", 7, breakStart, breakStart)
-	now, _ := watchFor(w, breakStart, 1800*time.Millisecond, busy)
-	if judged := w.judge(now.Add(judgeInterval), unlisted); verdictOf(t, judged) != resetServerDown {
+	w.addReset("a@1", 7, testStart, testStart)
+	now, _ := judgeFor(w, testStart, 1800*time.Millisecond, alwaysRunning)
+	if judged := w.judge(now.Add(judgeInterval), alwaysUnlisted); verdictOf(t, judged) != resetServerDown {
 		t.Errorf("%+v", judged)
 	}
 }
 
-// A crash would be missed because the server's successor answers under the old entry, or
-// figures of others are old, although nothing listened at the address.
+// Guards against missing a crash because the restarted server answers under the old entry,
+// or reports of other routers are stale, although nothing was listening at the address.
 func TestRefusedConnectionOutweighsLaterAnswers(t *testing.T) {
 	w := newCrashDetector()
-	w.addReset("a@1", 7, breakStart, breakStart)
-	w.connectionRefused("a@1", breakStart.Add(100*time.Millisecond))
-	if judged := w.dataReceived("a@1", breakStart.Add(time.Second), breakStart.Add(time.Second)); len(judged.fingerprints) > 0 {
-		t.Errorf("judged %+v by its successor's answer", judged)
+	w.addReset("a@1", 7, testStart, testStart)
+	w.connectionRefused("a@1", testStart.Add(100*time.Millisecond))
+	if judged := w.dataReceived("a@1", testStart.Add(time.Second), testStart.Add(time.Second)); len(judged.fingerprints) > 0 {
+		t.Errorf("judged %+v by an answer of the restarted server", judged)
 	}
-	if _, judged := watchFor(w, breakStart, 1700*time.Millisecond, busy); verdictOf(t, judged) != resetServerDown {
+	if _, judged := judgeFor(w, testStart, 1700*time.Millisecond, alwaysRunning); verdictOf(t, judged) != resetServerDown {
 		t.Errorf("%+v", judged)
 	}
 }
 
-// A connection that was refused before the break says nothing of what came after it.
+// Guards against evidence from before the reset: a connection refused then says nothing
+// about what came after it.
 func TestEarlierRefusalIsNoEvidence(t *testing.T) {
 	w := newCrashDetector()
-	w.addReset("a@1", 7, breakStart.Add(-time.Second), breakStart)
-	w.connectionRefused("a@1", breakStart.Add(-time.Millisecond))
-	if judged := w.dataReceived("a@1", breakStart.Add(time.Millisecond), breakStart.Add(time.Millisecond)); judged.verdict != resetServerWentOn || len(judged.fingerprints) != 1 {
+	w.addReset("a@1", 7, testStart.Add(-time.Second), testStart)
+	w.connectionRefused("a@1", testStart.Add(-time.Millisecond))
+	if judged := w.dataReceived("a@1", testStart.Add(time.Millisecond), testStart.Add(time.Millisecond)); judged.verdict != resetServerWentOn || len(judged.fingerprints) != 1 {
 		t.Errorf("%+v", judged)
 	}
 }
 
-// A crash would be missed because events that arrived before it are read after it.
-func TestDataOfTheTimeBeforeTheBreakIsNoSignOfLife(t *testing.T) {
+// Guards against missing a crash because events that arrived before it are read after it.
+func TestDataFromBeforeTheResetIsNoSignOfLife(t *testing.T) {
 	w := newCrashDetector()
-	w.addReset("a@1", 7, breakStart, breakStart)
-	if judged := w.dataReceived("a@1", breakStart.Add(-time.Second), breakStart); len(judged.fingerprints) > 0 {
-		t.Errorf("judged at once: %+v", judged)
+	w.addReset("a@1", 7, testStart, testStart)
+	if judged := w.dataReceived("a@1", testStart.Add(-time.Second), testStart); len(judged.fingerprints) > 0 {
+		t.Errorf("judged immediately: %+v", judged)
 	}
-	now, _ := watchFor(w, breakStart, 400*time.Millisecond, idle)
-	if judged := w.dataReceived("a@1", breakStart.Add(-time.Second), now); len(judged.fingerprints) != 1 {
-		t.Error("a stream that goes on is no sign of life")
+	now, _ := judgeFor(w, testStart, 400*time.Millisecond, alwaysIdle)
+	if judged := w.dataReceived("a@1", testStart.Add(-time.Second), now); len(judged.fingerprints) != 1 {
+		t.Error("a stream that continues is not taken as a sign of life")
 	}
 }
 
-// Symptom: requests are refused as crashing servers after a router was suspended.
-// Events: a connection breaks; the router stands still for longer than the time to the
-// verdict; the server goes on meanwhile.
-// Cause: the time in which the router could see nothing counted as silence.
-func TestPausedRouterConvictsNothingByItsOwnSilence(t *testing.T) {
+// Guards against refusing requests as crashing servers after the router was suspended for
+// longer than silenceTimeout: it could not have seen a sign of life in that time.
+func TestSuspendedRouterDoesNotCountItsOwnPauseAsSilence(t *testing.T) {
 	w := newCrashDetector()
-	w.addReset("a@1", 7, breakStart, breakStart)
-	watchFor(w, breakStart, 500*time.Millisecond, idle)
-	resumed := breakStart.Add(10 * time.Second)
-	// What waited in connections of the time before may be older than the break, both
-	// before and after the first look.
-	if judged := w.dataReceived("a@1", breakStart.Add(-time.Second), resumed); len(judged.fingerprints) > 0 {
+	w.addReset("a@1", 7, testStart, testStart)
+	judgeFor(w, testStart, 500*time.Millisecond, alwaysIdle)
+	resumed := testStart.Add(10 * time.Second)
+	// Data that was waiting in older connections may be older than the reset, both before
+	// and after the first check.
+	if judged := w.dataReceived("a@1", testStart.Add(-time.Second), resumed); len(judged.fingerprints) > 0 {
 		t.Errorf("judged by data that may be old: %+v", judged)
 	}
-	if judged := w.judge(resumed, idle); len(judged) > 0 {
-		t.Fatalf("judged on waking: %+v", judged)
+	if judged := w.judge(resumed, alwaysIdle); len(judged) > 0 {
+		t.Fatalf("judged on resuming: %+v", judged)
 	}
-	if judged := w.dataReceived("a@1", breakStart.Add(-time.Second), resumed); len(judged.fingerprints) > 0 {
+	if judged := w.dataReceived("a@1", testStart.Add(-time.Second), resumed); len(judged.fingerprints) > 0 {
 		t.Errorf("judged by data that may be old: %+v", judged)
 	}
 	if judged := w.dataReceived("a@1", resumed, resumed); judged.verdict != resetServerWentOn || len(judged.fingerprints) != 1 {
@@ -180,33 +181,35 @@
 	}
 }
 
-// A router that was suspended would never convict a request whose crash it has seen.
-func TestPausedRouterStillConvicts(t *testing.T) {
+// Guards against a suspended router that never counts a crash that it has seen.
+func TestSuspendedRouterStillDetectsCrash(t *testing.T) {
 	w := newCrashDetector()
-	w.addReset("a@1", 7, breakStart, breakStart)
-	if _, judged := watchFor(w, breakStart.Add(10*time.Second), 1600*time.Millisecond, idle); verdictOf(t, judged) != resetServerDown {
+	w.addReset("a@1", 7, testStart, testStart)
+	if _, judged := judgeFor(w, testStart.Add(10*time.Second), 1600*time.Millisecond, alwaysIdle); verdictOf(t, judged) != resetServerDown {
 		t.Errorf("%+v", judged)
 	}
 }
 
-// One crash under several copies of a request would count as several.
-func TestCopiesThatBreakTogetherCountOnce(t *testing.T) {
+// Guards against counting one crash several times because it reset several copies of a
+// request.
+func TestCopiesResetTogetherCountOnce(t *testing.T) {
 	w := newCrashDetector()
 	for range 3 {
-		w.addReset("a@1", 7, breakStart, breakStart.Add(time.Millisecond))
+		w.addReset("a@1", 7, testStart, testStart.Add(time.Millisecond))
 	}
 	if got := w.pendingFor(7); got != 1 {
-		t.Errorf("%d pending breaks", got)
+		t.Errorf("%d pending resets", got)
 	}
-	w.addReset("a@1", 7, breakStart.Add(2*time.Millisecond), breakStart.Add(3*time.Millisecond))
-	w.addReset("b@1", 7, breakStart, breakStart.Add(time.Millisecond))
+	w.addReset("a@1", 7, testStart.Add(2*time.Millisecond), testStart.Add(3*time.Millisecond))
+	w.addReset("b@1", 7, testStart, testStart.Add(time.Millisecond))
 	if got := w.pendingFor(7); got != 3 {
-		t.Errorf("%d pending breaks with a later one and one at another server", got)
+		t.Errorf("%d pending resets with a later one and one at another server", got)
 	}
 }
 
-// Other routers would hear of resets, and count them as crashes.
-func TestOnlyCrashesAreToldAndCounted(t *testing.T) {
+// Guards against reporting resets to other routers that were not crashes, as those would
+// count them.
+func TestOnlyCrashesAreReportedToOtherRouters(t *testing.T) {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	registry := prometheus.NewRegistry()
@@ -217,18 +220,18 @@
 		requestLog:    newRequestLog(logger, knowledge.NewState(), nil),
 	}
 	m := &Manager{handler: h}
-	h.crashDetector.addReset("a@1", 7, breakStart, breakStart)
-	h.crashDetector.addReset("b@1", 8, breakStart, breakStart)
-	h.dataReceived(&knowledge.Backend{Incarnation: "a@1"}, breakStart.Add(time.Second), breakStart.Add(time.Second))
-	if told := m.TakeCrashFingerprints(); len(told) > 0 {
-		t.Errorf("%v told before any crash", told)
+	h.crashDetector.addReset("a@1", 7, testStart, testStart)
+	h.crashDetector.addReset("b@1", 8, testStart, testStart)
+	h.dataReceived(&knowledge.Backend{Incarnation: "a@1"}, testStart.Add(time.Second), testStart.Add(time.Second))
+	if reported := m.TakeCrashFingerprints(); len(reported) > 0 {
+		t.Errorf("%v reported before any crash", reported)
 	}
-	_, judged := watchFor(h.crashDetector, breakStart, 2*time.Second, idle)
+	_, judged := judgeFor(h.crashDetector, testStart, 2*time.Second, alwaysIdle)
 	for _, some := range judged {
 		h.applyVerdict(some)
 	}
-	if told := m.TakeCrashFingerprints(); len(told) != 1 || told[0] != 8 {
-		t.Errorf("%v told, want the one whose server went down", told)
+	if reported := m.TakeCrashFingerprints(); len(reported) != 1 || reported[0] != 8 {
+		t.Errorf("%v reported, want the one whose server went down", reported)
 	}
 	counted := resetsCounted(t, registry)
 	if len(counted) != 2 || counted[resetServerDown] != 1 || counted[resetServerWentOn] != 1 {
@@ -236,7 +239,7 @@
 	}
 }
 
-// resetsCounted returns the metric of broken connections by its verdicts.
+// resetsCounted returns the metric of reset connections by verdict.
 func resetsCounted(t *testing.T, registry *prometheus.Registry) map[resetVerdict]float64 {
 	t.Helper()
 	families, err := registry.Gather()
@@ -255,19 +258,19 @@
 	return counted
 }
 
-// Breaks would gather without a bound, stay without a verdict or get two, or a server that
-// was seen to go on would convict.
-func TestEachBreakGetsOneVerdict(t *testing.T) {
+// Guards against pending resets that accumulate without bound, get no verdict or two, or
+// count as crashes although the server has answered since.
+func TestEachResetGetsOneVerdict(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newCrashDetector()
-		now := breakStart
+		now := testStart
 		added, judged := 0, 0
-		disproved := make(map[string]bool) // breaks whose server has answered since
+		disproved := make(map[string]bool) // resets whose server has answered since
 		count := func(some judgedResets) {
 			judged += len(some.fingerprints)
 			for _, print := range some.fingerprints {
 				if some.verdict == resetServerDown && disproved[fmt.Sprint(some.incarnation, print)] {
-					t.Fatalf("%d is convicted by %s, which answered after the break", print, some.incarnation)
+					t.Fatalf("%d counts as a crash of %s, which answered after the reset", print, some.incarnation)
 				}
 			}
 		}
@@ -295,20 +298,20 @@
 				}
 			}
 		}
-		_, rest := watchFor(w, now, reportedSilenceTimeout+time.Second, busy)
+		_, rest := judgeFor(w, now, reportedSilenceTimeout+time.Second, alwaysRunning)
 		for _, some := range rest {
 			count(some)
 		}
 		if judged != added || w.pendingCount.Load() != 0 || len(w.byServer) != 0 || len(w.byRequest) != 0 {
-			t.Fatalf("%d of %d breaks were judged, %d are left", judged, added, w.pendingCount.Load())
+			t.Fatalf("%d of %d resets were judged, %d are pending", judged, added, w.pendingCount.Load())
 		}
 	})
 }
 
-func TestPendingBreaksAreBounded(t *testing.T) {
+func TestPendingResetsAreBounded(t *testing.T) {
 	w := newCrashDetector()
 	for print := range uint64(3 * maxPendingResets) {
-		w.addReset(fmt.Sprint("i-", print%50), print, breakStart, breakStart)
+		w.addReset(fmt.Sprint("i-", print%50), print, testStart, testStart)
 	}
 	if got := w.pendingCount.Load(); got != maxPendingResets || len(w.byRequest) != maxPendingResets {
 		t.Errorf("%d are pending, of %d requests", got, len(w.byRequest))
--- a/internal/gate/crash_fleet_test.go
+++ b/internal/gate/crash_fleet_test.go
@@ -12,72 +12,74 @@
 )
 
 const (
-	// toldAfter is how long routers take to tell each other of a conviction.
-	toldAfter = 300 * time.Millisecond
-	// staleMost is how long others' figures show requests at a server that has crashed:
-	// a router that stopped is forgotten after 1.5 s, and sums of zones take a while.
-	staleMost = 1900 * time.Millisecond
-	// crashPrint is the request that crashes each server.
-	crashPrint = uint64(7)
+	// reportDelay is how long routers take to report a crash to each other.
+	reportDelay = 300 * time.Millisecond
+	// maxStale is how long other routers' reports show requests at a server that has
+	// crashed: a router that stopped is forgotten after 1.5 s, and zone aggregates add to
+	// that.
+	maxStale = 1900 * time.Millisecond
+	// crashFingerprint is that of the request that crashes each server.
+	crashFingerprint = uint64(7)
 )
 
-// crashFleet is a fleet of routers and backend servers in simulated time. Its caller sends
-// one request, which crashes each server that runs it.
+// crashFleet simulates routers and backend servers. Its caller sends one request, which
+// crashes each server that runs it.
 type crashFleet struct {
-	now      boottime.Instant
-	routers  []*crashRouter
-	servers  []crashServer
-	crashes  []boottime.Instant
-	staleFor time.Duration
-	blips    bool
+	now          boottime.Instant
+	routers      []*crashRouter
+	servers      []crashServer
+	crashes      []boottime.Instant
+	staleFor     time.Duration
+	briefReports bool
 }
 
 type crashRouter struct {
-	breaks   *crashDetector
+	detector *crashDetector
 	suspects *suspects
-	told     []crashNews
+	reports  []crashReport
 }
 
-type crashNews struct {
+type crashReport struct {
 	from int
 	at   boottime.Instant
 }
 
 type crashServer struct {
-	born int
-	back boottime.Instant // when it serves again, 0 while it serves
-	died boottime.Instant
+	restarts  int
+	backAt    boottime.Instant // when it will serve again, 0 while it serves
+	crashedAt boottime.Instant
 }
 
 func newCrashFleet(t *rapid.T) *crashFleet {
-	f := &crashFleet{now: breakStart, servers: make([]crashServer, rapid.IntRange(3, 12).Draw(t, "servers"))}
-	f.staleFor = time.Duration(rapid.Int64Range(0, int64(staleMost)).Draw(t, "stale"))
-	f.blips = rapid.Bool().Draw(t, "blips")
+	f := &crashFleet{now: testStart, servers: make([]crashServer, rapid.IntRange(3, 12).Draw(t, "servers"))}
+	f.staleFor = time.Duration(rapid.Int64Range(0, int64(maxStale)).Draw(t, "stale"))
+	f.briefReports = rapid.Bool().Draw(t, "blips")
 	for range rapid.IntRange(1, 8).Draw(t, "routers") {
-		f.routers = append(f.routers, &crashRouter{breaks: newCrashDetector(), suspects: newSuspects()})
+		f.routers = append(f.routers, &crashRouter{detector: newCrashDetector(), suspects: newSuspects()})
 	}
 	return f
 }
 
-// step lets 10 ms pass. Routers look at their breaks each 100 ms, not all together.
+// step advances the time by 10 ms. Each router judges its resets every 100 ms, at different
+// times.
 func (f *crashFleet) step(tick int) {
 	f.now = f.now.Add(10 * time.Millisecond)
 	for i := range f.servers {
-		if server := &f.servers[i]; server.back != 0 && f.now >= server.back {
-			server.back = 0
-			server.born++
+		if server := &f.servers[i]; server.backAt != 0 && f.now >= server.backAt {
+			server.backAt = 0
+			server.restarts++
 		}
 	}
 	for i, router := range f.routers {
 		if (tick+i)%10 == 0 {
 			f.judge(i, router)
 		}
-		f.hear(router)
+		f.receive(router)
 	}
 }
 
 func (f *crashFleet) judge(self int, router *crashRouter) {
-	for _, judged := range router.breaks.judge(f.now, f.report) {
+	for _, judged := range router.detector.judge(f.now, f.report) {
 		if judged.verdict != resetServerDown {
 			continue
 		}
@@ -85,61 +87,60 @@
 			router.suspects.crashed(print)
 			for other := range f.routers {
 				if other != self {
-					f.routers[other].told = append(f.routers[other].told, crashNews{from: self, at: f.now.Add(toldAfter)})
+					f.routers[other].reports = append(f.routers[other].reports, crashReport{from: self, at: f.now.Add(reportDelay)})
 				}
 			}
 		}
 	}
 }
 
-// hear takes what other routers have told by now.
-func (f *crashFleet) hear(router *crashRouter) {
-	for len(router.told) > 0 && router.told[0].at <= f.now {
-		router.suspects.crashReported(fleet.Address(fmt.Sprint("router-", router.told[0].from)), crashPrint)
-		router.told = router.told[1:]
+// receive applies the reports of other routers that have arrived.
+func (f *crashFleet) receive(router *crashRouter) {
+	for len(router.reports) > 0 && router.reports[0].at <= f.now {
+		router.suspects.crashReported(fleet.Address(fmt.Sprint("router-", router.reports[0].from)), crashFingerprint)
+		router.reports = router.reports[1:]
 	}
 }
 
-// report tells what routers know of an incarnation: figures of others are old, and a
-// request that is being refused a connection shows now and then.
+// report returns what routers know of an incarnation: other routers' reports are stale, and
+// a request that is being refused a connection shows now and then.
 func (f *crashFleet) report(incarnation string) serverReport {
 	for i, server := range f.servers {
 		switch {
 		case incarnation != f.incarnation(i):
 			continue
-		case server.back == 0, f.now.Sub(server.died) < f.staleFor, f.blips && int64(f.now)/int64(100*time.Millisecond)%5 == 0:
+		case server.backAt == 0, f.now.Sub(server.crashedAt) < f.staleFor, f.briefReports && int64(f.now)/int64(100*time.Millisecond)%5 == 0:
 			return reportRunning
 		}
 		return reportIdle
 	}
-	return reportUnlisted // it has started again
+	return reportUnlisted // it has restarted
 }
 
 func (f *crashFleet) incarnation(server int) string {
-	return fmt.Sprint(server, "@", f.servers[server].born)
+	return fmt.Sprint(server, "@", f.servers[server].restarts)
 }
 
-// arrive sends the request to a router, which sends it to a server. It returns whether it
-// arrived there.
+// arrive sends the request to a router, which sends it to a server. It reports whether the
+// request arrived there.
 func (f *crashFleet) arrive(router *crashRouter, at int) bool {
-	count := router.suspects.count(crashPrint)
-	if count >= maxCrashes || count+router.breaks.pendingFor(crashPrint) >= maxCrashes {
+	count := router.suspects.count(crashFingerprint)
+	if count >= maxCrashes || count+router.detector.pendingFor(crashFingerprint) >= maxCrashes {
 		return false // refused, or held until then
 	}
 	server := &f.servers[at]
-	if server.back != 0 {
-		router.breaks.connectionRefused(f.incarnation(at), f.now)
+	if server.backAt != 0 {
+		router.detector.connectionRefused(f.incarnation(at), f.now)
 		return false
 	}
-	router.breaks.addReset(f.incarnation(at), crashPrint, f.now.Add(-time.Millisecond), f.now)
+	router.detector.addReset(f.incarnation(at), crashFingerprint, f.now.Add(-time.Millisecond), f.now)
 	f.crashes = append(f.crashes, f.now)
 	return true
 }
 
-// Symptom: a request crashes one backend server after the other.
-// Events: its caller sends it again and again, by way of all routers; servers come back
-// after seconds, as new incarnations; figures of other routers are old.
-// Cause: crashes wait for a verdict that comes too late, or is wrong.
+// Guards against a request that crashes one backend server after the other: its caller
+// retries it through all routers, servers restart after seconds as new incarnations,
+// reports of other routers are stale, and verdicts on crashes come too late or are wrong.
 func TestRequestThatCrashesServersIsStoppedInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newCrashFleet(t)
@@ -153,14 +154,15 @@
 			router := f.routers[rapid.IntRange(0, len(f.routers)-1).Draw(t, "router")]
 			at := rapid.IntRange(0, len(f.servers)-1).Draw(t, "server")
 			if f.arrive(router, at) {
-				f.servers[at].back, f.servers[at].died = f.now.Add(restart), f.now
+				f.servers[at].backAt, f.servers[at].crashedAt = f.now.Add(restart), f.now
 			}
 		}
 		f.check(t)
 	})
 }
 
-// check checks the users' rule: at most three arrivals later than 3 s after the third crash.
+// check checks the requirement: at most three arrivals later than 3 s after the third
+// crash.
 func (f *crashFleet) check(t *rapid.T) {
 	if len(f.crashes) < 3 {
 		return
--- a/internal/gate/drain_answers_test.go
+++ b/internal/gate/drain_answers_test.go
@@ -11,8 +11,8 @@
 	"github.com/bluebellchute/bluebellchute/internal/knowledge"
 )
 
-// Guards against an answer that does not tell that its connection is closed: the caller's next
-// request meets the close.
+// Guards against an answer that does not announce that its connection will be closed: the
+// caller's next request would be lost.
 func TestAnswerWhileDrainingTellsTheClose(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
@@ -21,12 +21,12 @@
 	g.stop()
 	close(release)
 	if response := <-answered; response != nil && !response.Close {
-		t.Error("the answer does not tell that the connection is closed")
+		t.Error("the answer does not announce that the connection is closed")
 	}
 }
 
-// Guards against giving up a request that was taken before draining, may be repeated, and has
-// time left, when a backend server breaks its connection.
+// Guards against giving up a request when a backend server resets its connection during
+// draining, though it was accepted before, may be repeated, and has time left.
 func TestRequestTakenBeforeDrainingIsRepeated(t *testing.T) {
 	t.Parallel()
 	broken := make(chan struct{})
--- a/internal/gate/drain_idle_test.go
+++ b/internal/gate/drain_idle_test.go
@@ -11,15 +11,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// Guards against closing a kept connection whose next request has arrived and waits for a busy
-// processor.
+// Guards against closing a keep-alive connection whose next request has arrived and waits
+// to be read on a busy processor.
 func TestRequestThatHasArrivedWhenIdleConnectionsAreClosedIsAnswered(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	const trials = 20
 	lost := 0
 	for range trials {
 		g := startDrainingGate(t, time.Second, func(http.ResponseWriter, *http.Request) {})
-		conn := g.keptConnection(t)
+		conn := g.keepAliveConnection(t)
 		raw, err := conn.(syscall.Conn).SyscallConn()
 		if err != nil {
 			t.Fatal(err)
--- a/internal/gate/drain_race_test.go
+++ b/internal/gate/drain_race_test.go
@@ -14,7 +14,7 @@
 	"github.com/bluebellchute/bluebellchute/internal/fleet"
 )
 
-// idleCPU is a processor that bears all callers.
+// idleCPU is a cpuMonitor that never reports a stall.
 type idleCPU struct{}
 
 func (idleCPU) stalled() bool                { return false }
@@ -22,7 +22,7 @@
 func (idleCPU) recovered() bool              { return true }
 func (idleCPU) recordRecovery(time.Duration) {}
 
-// Guards against a request that is read after the last look for requests in progress, and
+// Guards against a request that is read after the last check for requests in progress, and
 // whose connection is then closed without an answer.
 func TestRequestReadWhenDrainingEndsIsAnswered(t *testing.T) {
 	const trials, together = 200, 8
@@ -30,9 +30,10 @@
 	for first := 0; first < trials; first += together {
 		var group sync.WaitGroup
 		for i := range together {
-			// Around the moment at which no request has been in progress for long enough.
-			moment := drainQuietPeriod + time.Duration((first+i)%50)*100*time.Microsecond
-			group.Go(func() { lost.Add(lostAtEnd(t, moment)) })
+			// Around the time at which no request has been in progress for
+			// drainQuietPeriod.
+			delay := drainQuietPeriod + time.Duration((first+i)%50)*100*time.Microsecond
+			group.Go(func() { lost.Add(lostAtEnd(t, delay)) })
 		}
 		group.Wait()
 	}
@@ -41,9 +42,9 @@
 	}
 }
 
-// lostAtEnd sends requests on new connections so long after draining has begun. It returns
-// how many are read and not answered.
-func lostAtEnd(t *testing.T, moment time.Duration) int32 {
+// lostAtEnd sends requests on new connections at the given time after draining has begun.
+// It returns how many are read but not answered.
+func lostAtEnd(t *testing.T, delay time.Duration) int32 {
 	const requests = 10
 	drain := newDrainState()
 	handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -74,13 +75,13 @@
 		defer close(finished)
 		e.finish(context.Background())
 	}()
-	time.Sleep(moment)
+	time.Sleep(delay)
 	var lost atomic.Int32
 	var group sync.WaitGroup
 	for _, conn := range conns {
 		group.Go(func() {
 			if _, err := io.WriteString(conn, "GET / HTTP/1.1\r\nHost: h\r\n\r\n"); err != nil {
-				return // it was closed before
+				return // the connection was already closed
 			}
 			if _, err := http.ReadResponse(bufio.NewReader(conn), nil); err == nil {
 				return
--- a/internal/gate/drain_test.go
+++ b/internal/gate/drain_test.go
@@ -22,10 +22,11 @@
 	"github.com/bluebellchute/bluebellchute/internal/policy"
 )
 
-// testGrace is the grace of gates that tests drain. Their notice is half of it.
+// testGrace is the grace period of gates that tests drain. They accept connections for half
+// of it.
 const testGrace = 3 * time.Second
 
-// drainingGate is a gate before one backend server that counts the requests it runs.
+// drainingGate is a gate with one backend server that counts the requests it runs.
 type drainingGate struct {
 	*Manager
 	address string
@@ -35,7 +36,7 @@
 }
 
 // startDrainingGate starts a gate whose backend server serves streams at /stream/ and other
-// requests at /whole/, both with serve. Callers allow them limit.
+// requests at /whole/, both with serve and the time limit.
 func startDrainingGate(t *testing.T, limit time.Duration, serve http.HandlerFunc) *drainingGate {
 	t.Helper()
 	g := &drainingGate{address: freeAddress(t), drained: make(chan error, 1)}
@@ -75,7 +76,7 @@
 	return g
 }
 
-// connect opens a connection on which nothing has been sent.
+// connect opens a connection and sends nothing.
 func (g *drainingGate) connect(t *testing.T) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", g.address)
@@ -87,13 +88,13 @@
 	return conn
 }
 
-// stop begins to drain the gate and returns when its listener is closed.
+// stop starts draining the gate and returns when its listener is closed.
 func (g *drainingGate) stop() {
 	go func() { g.drained <- g.Drain(context.Background()) }()
 	time.Sleep(testGrace/2 + 200*time.Millisecond)
 }
 
-// request sends a request and returns the head of its answer, or an error.
+// request sends a request and returns its answer's header, or an error.
 func request(conn net.Conn, path string) (*http.Response, error) {
 	if _, err := io.WriteString(conn, "GET "+path+" HTTP/1.1\r\nHost: h\r\n\r\n"); err != nil {
 		return nil, err
@@ -105,7 +106,7 @@
 }
 
 // startRequest sends a request that must be answered, and returns when it has reached the
-// backend server. The head of its answer, nil for none, comes by the channel.
+// backend server. The channel delivers the answer's header, nil for none.
 func (g *drainingGate) startRequest(t *testing.T, path string) <-chan *http.Response {
 	t.Helper()
 	conn := g.connect(t)
@@ -121,8 +122,8 @@
 	return answered
 }
 
-// reasonIn returns the reason of a refusal.
-func reasonIn(t *testing.T, response *http.Response) Reason {
+// decodeReason returns the reason of a refusal.
+func decodeReason(t *testing.T, response *http.Response) Reason {
 	t.Helper()
 	var body refusalBody
 	if err := json.NewDecoder(response.Body).Decode(&body); err != nil {
@@ -131,36 +132,36 @@
 	return body.Error
 }
 
-// endless answers with a first event at once and never ends.
-func endless(w http.ResponseWriter, r *http.Request) {
+// endlessStream answers with a first event immediately and never ends.
+func endlessStream(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.WriteString(w, "id: 1\ndata: x\n\n")
 	_ = http.NewResponseController(w).Flush()
 	<-r.Context().Done()
 }
 
-// Guards against a stream that is taken on an open connection too late to end before the
-// process does, and is cut in the middle.
+// Guards against accepting a stream on an open connection when it is too late for it to end
+// before the process does, so that it is cut off.
 func TestStreamTooLateInDrainingIsNotTaken(t *testing.T) {
 	t.Parallel()
-	g := startDrainingGate(t, 15*time.Second, endless)
+	g := startDrainingGate(t, 15*time.Second, endlessStream)
 	g.startStream(t)
 	g.applyOtherLimits()
-	conn := g.keptConnection(t)
+	conn := g.keepAliveConnection(t)
 	g.stop()
 	response, err := request(conn, "/stream/x")
 	if g.arrived.Load() != 1 {
 		t.Error("the backend server runs it")
 	}
-	if err == nil && reasonIn(t, response) != ReasonDraining {
+	if err == nil && decodeReason(t, response) != ReasonDraining {
 		t.Errorf("status %d, want a closed connection or a refusal", response.StatusCode)
 	}
 }
 
-// Guards against a request that is read from a connection opened before the listener was
-// closed, and gets no answer.
+// Guards against a request without an answer on a connection that was opened before the
+// listener was closed.
 func TestFirstRequestLateInDrainingIsRefused(t *testing.T) {
 	t.Parallel()
-	g := startDrainingGate(t, 15*time.Second, endless)
+	g := startDrainingGate(t, 15*time.Second, endlessStream)
 	g.startStream(t)
 	conn := g.connect(t)
 	g.stop()
@@ -176,17 +177,17 @@
 	}
 }
 
-// Guards against closing a kept connection from which a part of a request has been read: on a
-// busy processor its caller gets no answer.
+// Guards against closing a keep-alive connection from which part of a request has been
+// read: on a busy processor its caller would get no answer.
 func TestRequestReadWhenTheListenerClosesIsAnswered(t *testing.T) {
 	t.Parallel()
-	g := startDrainingGate(t, 15*time.Second, endless)
+	g := startDrainingGate(t, 15*time.Second, endlessStream)
 	g.startStream(t)
-	conn := g.keptConnection(t)
+	conn := g.keepAliveConnection(t)
 	const head = "GET /stream/x HTTP/1.1\r\nHost: h\r\n\r\n"
 	go func() {
 		time.Sleep(testGrace / 4)
-		_, _ = io.WriteString(conn, head[:10]) // a failure shows below
+		_, _ = io.WriteString(conn, head[:10]) // a failure is detected below
 	}()
 	g.stop()
 	if _, err := io.WriteString(conn, head[10:]); err != nil {
@@ -196,13 +197,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if reason := reasonIn(t, response); reason != ReasonDraining {
+	if reason := decodeReason(t, response); reason != ReasonDraining {
 		t.Errorf("status %d for %q, want a refusal", response.StatusCode, reason)
 	}
 }
 
-// keptConnection returns a connection that stays open after an answer.
-func (g *drainingGate) keptConnection(t *testing.T) net.Conn {
+// keepAliveConnection returns a connection that stays open after an answer.
+func (g *drainingGate) keepAliveConnection(t *testing.T) net.Conn {
 	t.Helper()
 	conn := g.connect(t)
 	response, err := request(conn, "/none")
@@ -210,12 +211,12 @@
 		t.Fatal(err)
 	}
 	if _, err := io.Copy(io.Discard, response.Body); err != nil || response.Close {
-		t.Fatalf("closing %v, %v; want a kept connection", response.Close, err)
+		t.Fatalf("closing %v, %v; want a connection that stays open", response.Close, err)
 	}
 	return conn
 }
 
-// startStream starts a stream that goes on until the gate has drained.
+// startStream starts a stream that lasts until the gate has drained.
 func (g *drainingGate) startStream(t *testing.T) {
 	t.Helper()
 	if _, err := request(g.connect(t), "/stream/x"); err != nil {
@@ -223,7 +224,7 @@
 	}
 }
 
-// applyOtherLimits lets connections from now on have other limits.
+// applyOtherLimits changes the limits of connections opened from now on.
 func (g *drainingGate) applyOtherLimits() {
 	limits := defaultLimits
 	limits.HeaderBytes /= 2
@@ -244,21 +245,22 @@
 		t.Errorf("status %d for a request that has run", response.StatusCode)
 	}
 	if err := <-g.drained; err == nil {
-		t.Error("the end tells of no request that was cut")
+		t.Error("Drain returns no error though a request was cancelled")
 	}
 }
 
-// Guards against refusals of requests that end in time, and against requests beyond the end.
+// Guards against refusing requests that end in time, and against accepting requests that do
+// not.
 func TestDrainStateTakesWhatEndsInTime(t *testing.T) {
 	d := newDrainState()
 	now := boottime.Now()
 	request := &Request{Received: now, Timeout: time.Second}
 	if !d.accepts(request, now) {
-		t.Error("a request is refused without a signal to stop")
+		t.Error("a request is refused without a stop signal")
 	}
 	d.start(now, now.Add(5*time.Second))
 	if !d.accepts(&Request{Received: now, Timeout: time.Minute}, now) {
-		t.Error("a request is refused before the balancer has heard")
+		t.Error("a request is refused while connections are still accepted")
 	}
 	d.listenerClosed.Store(true)
 	if !d.accepts(request, now) {
@@ -266,6 +268,6 @@
 	}
 	late := now.Add(4500 * time.Millisecond)
 	if d.accepts(&Request{Received: late, Timeout: time.Second}, late) {
-		t.Error("a request is taken that may last beyond the end")
+		t.Error("a request is accepted that may outlast draining")
 	}
 }
--- a/internal/gate/acceptor.go
+++ b/internal/gate/entry.go
@@ -63,8 +63,8 @@
 	conns  *chanListener
 }
 
-func newAcceptor(handler http.Handler, connections int, load cpuMonitor, drain *drainState) *acceptor {
-	e := &acceptor{handler: handler, callers: newCallerConns(connections), cpu: load, drain: drain}
+func newAcceptor(handler http.Handler, connections int, cpu cpuMonitor, drain *drainState) *acceptor {
+	e := &acceptor{handler: handler, callers: newCallerConns(connections), cpu: cpu, drain: drain}
 	e.applyLimits(defaultLimits)
 	return e
 }
--- a/internal/gate/handler.go
+++ b/internal/gate/handler.go
@@ -115,7 +115,7 @@
 	// Refused requests count as well; otherwise the other accounts would use this account's
 	// share.
 	h.admission.recordRequest(request)
-	h.requestLog.tally.addRequested(request)
+	h.requestLog.counts.addRequested(request)
 	owed := func() bool { return h.admission.withinShare(request, view) }
 	if !h.lag.accepts(received, owed, rand.Float64()) {
 		// Accepting more would stall the requests in progress.
--- a/internal/gate/lag_test.go
+++ b/internal/gate/lag_test.go
@@ -23,12 +23,12 @@
 	return newLagMeter(logger, prometheus.NewRegistry())
 }
 
-// owed and beyond are requests within and beyond their accounts' shares.
-func owed() bool   { return true }
-func beyond() bool { return false }
+// withinShare and beyondShare stand for requests within and beyond their accounts' shares.
+func withinShare() bool { return true }
+func beyondShare() bool { return false }
 
-// notes gives the meter so many looks of the lag and returns the time after.
-func notes(m *lagMeter, count int, lag time.Duration, now boottime.Instant) boottime.Instant {
+// observeLag records the lag the given number of times and returns the time reached.
+func observeLag(m *lagMeter, count int, lag time.Duration, now boottime.Instant) boottime.Instant {
 	for range count {
 		now = now.Add(lagInterval + lag)
 		m.observe(lag, now)
@@ -36,82 +36,78 @@
 	return now
 }
 
-// Symptom: requests are sent on after their callers have left.
-// Events: one router gets several times the callers of the others.
-// Cause: nothing told the balancer that its processor is the bottleneck.
-func TestOverloadIsNoticedAndEnds(t *testing.T) {
+// Guards against forwarding requests after their callers have disconnected, at a router
+// that gets several times as many callers as the others: the load balancer has to learn
+// that its processor is saturated.
+func TestOverloadIsDetectedAndEnds(t *testing.T) {
 	m := testLagMeter()
-	now := notes(m, 20, 150*time.Millisecond, boottime.Now())
+	now := observeLag(m, 20, 150*time.Millisecond, boottime.Now())
 	if !m.overloaded.Load() {
-		t.Fatal("goroutines run 150ms late and nobody notices")
+		t.Fatal("a lag of 150ms does not count as overload")
 	}
-	now = notes(m, 30, 0, now)
+	now = observeLag(m, 30, 0, now)
 	if !m.overloaded.Load() {
-		t.Error("callers are taken again before the balancer has heard")
+		t.Error("the overload ends before the load balancer has noticed it")
 	}
-	notes(m, 60, 0, now)
+	observeLag(m, 60, 0, now)
 	if m.overloaded.Load() {
 		t.Error("the overload never ends")
 	}
 }
 
-// Symptom: streams stand still while new requests are sent on.
-// Events: the processor is busy with new requests.
-// Cause: the wait that is not over yet was not seen.
-func TestLongWaitIsNoticedBeforeItEnds(t *testing.T) {
+// Guards against streams that stall while a processor busy with new requests keeps
+// forwarding them: a measurement still in progress must count.
+func TestStallIsDetectedBeforeItEnds(t *testing.T) {
 	m := testLagMeter()
 	now := boottime.Now()
 	m.yieldedAt.Store(int64(now))
 	if m.busy(now.Add(stallLag / 2)) {
-		t.Error("a short wait counts")
+		t.Error("a short wait counts as overload")
 	}
 	if !m.busy(now.Add(2 * stallLag)) {
-		t.Error("a long wait does not count")
+		t.Error("a long wait does not count as overload")
 	}
 }
 
-// Symptom: an account gets less than half of what another gets.
-// Events: all its callers come to one small VM, and from it to the next.
-// Cause: an overloaded router took nothing at all for seconds.
-func TestOverloadedRouterTakesWhatItCan(t *testing.T) {
+// Guards against an account that gets less than half its share because all its callers
+// come to one small VM after the other, and each refuses everything for seconds.
+func TestOverloadedRouterStillAcceptsAShare(t *testing.T) {
 	m := testLagMeter()
-	now := notes(m, 200, 150*time.Millisecond, boottime.Now())
-	if m.share() != minShare || m.accepts(now, beyond, 0) || !m.accepts(now, owed, 0) {
-		t.Errorf("the share of requests taken is %v after a long overload, want the least, all of it for what is owed", m.share())
+	now := observeLag(m, 200, 150*time.Millisecond, boottime.Now())
+	if m.share() != minShare || m.accepts(now, beyondShare, 0) || !m.accepts(now, withinShare, 0) {
+		t.Errorf("the share of accepted requests is %v after a long overload, want the minimum, all of it for requests within their shares", m.share())
 	}
-	now = notes(m, 30, 0, now)
+	now = observeLag(m, 30, 0, now)
 	if share := m.share(); share <= minShare || share >= 1 {
-		t.Errorf("the share of requests taken is %v while the overload ends", share)
+		t.Errorf("the share of accepted requests is %v while the overload ends", share)
 	}
-	now = notes(m, 100, 0, now)
-	if !m.accepts(now, beyond, 0.999) {
+	now = observeLag(m, 100, 0, now)
+	if !m.accepts(now, beyondShare, 0.999) {
 		t.Error("requests are refused long after the overload")
 	}
 }
 
-// Symptom: small accounts are refused at the router to which a large one's callers
-// come.
-// Events: the large account's flood overloads the router.
-// Cause: what to refuse was drawn without a look at shares.
-func TestFloodIsCutBeforeWhatIsOwed(t *testing.T) {
+// Guards against refusing small accounts at a router that a large account's flood
+// overloads: requests beyond the shares have to be refused first.
+func TestRequestsBeyondSharesAreRefusedFirst(t *testing.T) {
 	m := testLagMeter()
 	now := boottime.Now()
 	for _, share := range []float64{1, 0.8, 0.5} {
 		m.setShare(share)
-		if !m.accepts(now, owed, 0.999) {
-			t.Errorf("what is owed is refused while a share of %v is taken", share)
+		if !m.accepts(now, withinShare, 0.999) {
+			t.Errorf("a request within its share is refused while a share of %v is accepted", share)
 		}
 	}
-	if m.accepts(now, beyond, 0.001) {
-		t.Error("something beyond the shares is taken while only what is owed fits")
+	if m.accepts(now, beyondShare, 0.001) {
+		t.Error("a request beyond the shares is accepted while only those within them should be")
 	}
 	m.setShare(minShare)
-	if m.accepts(now, owed, 0.999) || !m.accepts(now, owed, 0.1) {
-		t.Error("what is owed is not cut in its turn")
+	if m.accepts(now, withinShare, 0.999) || !m.accepts(now, withinShare, 0.1) {
+		t.Error("requests within the shares are not refused in their turn")
 	}
 }
 
-// promptDialect takes every request as one for a model.
+// promptDialect decodes every request as one for a model.
 type promptDialect struct{ plainDialect }
 
 func (d promptDialect) Decode(r *http.Request) (*Request, error) {
@@ -121,11 +117,10 @@
 	return request, err
 }
 
-// Symptom: an account gets less than half of what another gets.
-// Events: the router to which all its callers come is overloaded.
-// Cause: what it refused was not told to the others, who gave the account's
-// part away.
-func TestWhatAnOverloadedRouterRefusesCountsAsAsked(t *testing.T) {
+// Guards against an account that gets less than half its share because the router to which
+// all its callers come is overloaded and does not report the requests that it refuses: the
+// other routers then give the account's share away.
+func TestRequestsRefusedInOverloadCountAsRequested(t *testing.T) {
 	manager, _ := listeningGate(t, 10)
 	h := manager.handler
 	h.dialect = promptDialect{}
@@ -140,20 +135,20 @@
 		t.Fatalf("answer %s, want a refusal", answer.Body)
 	}
 	if got := manager.Usages()["kitchen"].Requested; got < 99 {
-		t.Errorf("the account asked for %v tokens, want nearly 100", got)
+		t.Errorf("the account requested %v tokens, want nearly 100", got)
 	}
 }
 
-func TestOneStandstillIsNoOverload(t *testing.T) {
+func TestOneStallIsNoOverload(t *testing.T) {
 	m := testLagMeter()
-	now := notes(m, 20, 0, boottime.Now())
-	notes(m, 1, 5*time.Second, now)
+	now := observeLag(m, 20, 0, boottime.Now())
+	observeLag(m, 1, 5*time.Second, now)
 	if m.overloaded.Load() {
-		t.Error("a standstill that is over counts as overload")
+		t.Error("a stall that is over counts as overload")
 	}
 }
 
-func TestCallerThatLeftIsNoticedAtOnce(t *testing.T) {
+func TestDisconnectedCallerIsNoticedImmediately(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -170,11 +165,11 @@
 	defer conn.Close()
 	ctx := withCallerConn(context.Background(), &callerConn{Conn: conn})
 	if callerDisconnected(ctx) {
-		t.Error("the caller is there")
+		t.Error("a connected caller counts as disconnected")
 	}
 	caller.Close()
 	time.Sleep(20 * time.Millisecond)
 	if !callerDisconnected(ctx) {
-		t.Error("the caller has left")
+		t.Error("the disconnect is not noticed")
 	}
 }
--- a/internal/gate/request_log.go
+++ b/internal/gate/records.go
@@ -38,14 +38,14 @@
 	failureLimit *rate.Limiter
 	answerLimit  *rate.Limiter
 	dropped      atomic.Int64
-	tally        *requestCounts
+	counts       *requestCounts
 	// inputs returns the current inputs of placement decisions.
 	inputs func() logrus.Fields
 }
 
 func newRequestLog(logger logrus.FieldLogger, state *knowledge.State, inputs func() logrus.Fields) *requestLog {
 	return &requestLog{
-		tally:        newRequestCounts(),
+		counts:       newRequestCounts(),
 		inputs:       inputs,
 		logger:       logger,
 		state:        state,
@@ -66,7 +66,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-tallies.C:
-			r.tally.write(r.logger, r.inputs())
+			r.counts.write(r.logger, r.inputs())
 		case <-ticker.C:
 			if count := r.dropped.Swap(0); count > 0 {
 				event.GateRecordsSuppressed.Log(r.logger, logrus.Fields{"count": count})
@@ -111,7 +111,7 @@
 }
 
 func (r *requestLog) refused(request *Request, refusal Refusal) {
-	r.tally.addRefusal(request, refusal.Reason)
+	r.counts.addRefusal(request, refusal.Reason)
 	if !r.allows(r.failureLimit) {
 		return // avoids building entries that are dropped in a flood of refusals
 	}
@@ -195,12 +195,12 @@
 // streamAborted logs that a stream ends early, because of the backend server or the end of
 // draining.
 func (r *requestLog) streamAborted(request *Request, sends int, drained bool) {
-	r.tally.addAnswer(request, false, false)
+	r.counts.addAnswer(request, false, false)
 	r.write(r.failureLimit, event.GateStreamAborted, request, logrus.Fields{"sends": sends, "drained": drained})
 }
 
 func (r *requestLog) callerDisconnected(request *Request) {
-	r.tally.addEnd(request, func(route *RouteCounts) { route.Disconnected++ })
+	r.counts.addEnd(request, func(route *RouteCounts) { route.Disconnected++ })
 	r.write(r.answerLimit, event.GateCallerDisconnected, request, logrus.Fields{})
 }
 
@@ -225,7 +225,7 @@
 }
 
 func (r *requestLog) answered(request *Request, placed *placement, status, sends int, late bool, err error) {
-	r.tally.addAnswer(request, status < http.StatusMultipleChoices && err == nil, late)
+	r.counts.addAnswer(request, status < http.StatusMultipleChoices && err == nil, late)
 	limiter := r.answerLimit
 	if status >= http.StatusInternalServerError || sends > 1 {
 		limiter = r.failureLimit
--- a/internal/gate/relay_buffered.go
+++ b/internal/gate/relay_whole.go
@@ -103,14 +103,14 @@
 }
 
 // deliver sends a complete answer to the caller.
-func (r *relay) deliver(whole *bufferedAnswer) {
-	status := callerStatus(whole.status)
+func (r *relay) deliver(buffered *bufferedAnswer) {
+	status := callerStatus(buffered.status)
 	header := r.writer.Header()
-	maps.Copy(header, whole.header)
-	header.Set("Content-Length", strconv.Itoa(len(whole.body)))
+	maps.Copy(header, buffered.header)
+	header.Set("Content-Length", strconv.Itoa(len(buffered.body)))
 	r.handler.writeHead(r.writer, status)
-	_, err := r.writer.Write(whole.body)
-	r.handler.requestLog.answered(r.request, whole.placed, status, r.sends, r.late(), err)
+	_, err := r.writer.Write(buffered.body)
+	r.handler.requestLog.answered(r.request, buffered.placed, status, r.sends, r.late(), err)
 	r.handler.metrics.answered(status)
 }
 
--- a/internal/gate/request_log_test.go
+++ b/internal/gate/request_log_test.go
@@ -10,10 +10,9 @@
 	"github.com/bluebellchute/bluebellchute/internal/knowledge"
 )
 
-// Symptom: from the id of a refused request its cause can't be told.
-// Events: a router refuses, or a backend server fails a request.
-// Cause: the record named neither what decided nor the backend server.
-func TestRecordsTellWhatDecided(t *testing.T) {
+// Guards against log entries on refused or failed requests that name neither what decided
+// nor the backend server, so that the cause can't be found from a request's id.
+func TestRequestLogNamesTheCause(t *testing.T) {
 	logger, hook := test.NewNullLogger()
 	records := newRequestLog(logger, knowledge.NewState(), func() logrus.Fields { return logrus.Fields{} })
 	inputs := Inputs{Backend: "i-1", ShareUsed: 1.234, Ahead: 900 * time.Millisecond, Budget: 600 * time.Millisecond}
--- a/internal/gate/startup_test.go
+++ b/internal/gate/startup_test.go
@@ -10,8 +10,8 @@
 	"github.com/bluebellchute/bluebellchute/internal/knowledge"
 )
 
-// reasonOf asks the router for anything and returns why it refuses.
-func reasonOf(t *testing.T, address string) Reason {
+// refusalReason sends a request to the router and returns the reason of its refusal.
+func refusalReason(t *testing.T, address string) Reason {
 	t.Helper()
 	response, err := http.Get("http://" + address + "/x")
 	if err != nil {
@@ -25,31 +25,31 @@
 	return refusal.Error
 }
 
-// Guards against callers that are refused, and come back late, in the moment in which all
-// routers start again and learn what they need.
-func TestFirstRequestsWaitForKnowledge(t *testing.T) {
+// Guards against refusing callers, who then come back late, during the short time in which
+// all routers restart and fetch the fleet state.
+func TestFirstRequestsWaitForFleetState(t *testing.T) {
 	manager, address := listeningGate(t, 10)
 	time.AfterFunc(startupWait/3, func() {
 		now := boottime.Now()
 		manager.options.State.SetConfiguration(&knowledge.Configuration{Version: 1}, now)
 		manager.options.State.SetBackends(nil, knowledge.Position{Revision: 1}, now)
 	})
-	if reason := reasonOf(t, address); reason == ReasonNoKnowledge {
-		t.Error("refused for a lack of knowledge that came meanwhile")
+	if reason := refusalReason(t, address); reason == ReasonNoKnowledge {
+		t.Error("refused for a lack of fleet state that has arrived meanwhile")
 	}
 }
 
-// Guards against requests that are held in vain: where nothing comes, they are told so in
-// time, and at once after the start.
-func TestRequestsAreNotHeldInVain(t *testing.T) {
+// Guards against holding requests for too long: if no fleet state arrives they are refused
+// after startupWait, and immediately once startupPeriod is over.
+func TestRequestsAreRefusedWhenNoFleetStateArrives(t *testing.T) {
 	_, address := listeningGate(t, 10)
 	began := time.Now()
-	if reason := reasonOf(t, address); reason != ReasonNoKnowledge || time.Since(began) > 2*startupWait {
+	if reason := refusalReason(t, address); reason != ReasonNoKnowledge || time.Since(began) > 2*startupWait {
 		t.Errorf("%s after %v", reason, time.Since(began))
 	}
 	time.Sleep(startupPeriod)
 	began = time.Now()
-	if reason := reasonOf(t, address); reason != ReasonNoKnowledge || time.Since(began) > startupWait/2 {
+	if reason := refusalReason(t, address); reason != ReasonNoKnowledge || time.Since(began) > startupWait/2 {
 		t.Errorf("%s after %v, long after the start", reason, time.Since(began))
 	}
 }
