--- a/internal/pace/pace_test.go
+++ b/internal/pace/pace_test.go
@@ -12,16 +12,16 @@
 
 const (
 	theEngine = 7
-	// rate is the prompt tokens that an engine at work time 1 reads in a second.
+	// rate is how many prompt tokens an engine at work time 1 reads per second.
 	rate = 10_000
-	// start is any moment after the machine's own start.
+	// start is any time after the machine has started.
 	start = boottime.Instant(1000 * time.Second)
 )
 
-func told(workTime float64) Report { return Report{Slots: 48, WorkTime: workTime} }
+func workTimeReport(workTime float64) Report { return Report{Slots: 48, WorkTime: workTime} }
 
-// at is the estimate of a router that has only what it has seen itself.
-func at(table *Table, now boottime.Instant) Estimate {
+// estimateAt returns the estimate of a router that has only its own observations.
+func estimateAt(table *Table, now boottime.Instant) Estimate {
 	return NewSnapshot(table.Own(now), nil, func(uint32) float64 { return rate }, now).Engine(theEngine)
 }
 
@@ -37,8 +37,8 @@
 	}
 }
 
-// Guards against routers that hold different figures for the same engine because they
-// heard of it in another order, or twice.
+// Guards against routers that get different results for an engine because they received
+// its observations in another order, or twice.
 func TestMergingDoesNotDependOnOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b, c := drawObservation(t, "a"), drawObservation(t, "b"), drawObservation(t, "c")
@@ -50,7 +50,7 @@
 		}
 		twice, once := a.Merge(b).Merge(b), a.Merge(b)
 		if twice.Usual != once.Usual || twice.Now != once.Now || twice.NowAt != once.NowAt {
-			t.Fatalf("%+v when told twice, %+v when told once", twice, once)
+			t.Fatalf("%+v when merged twice, %+v when merged once", twice, once)
 		}
 	})
 }
@@ -71,11 +71,11 @@
 	})
 }
 
-// Guards against engines that count as average until many answers have come.
-func TestOneAnswerIsEnough(t *testing.T) {
+// Guards against engines that count as average until many answers have arrived.
+func TestOneReportIsEnough(t *testing.T) {
 	table := NewTable()
-	table.RecordReport(theEngine, told(1.2), start)
-	got := at(table, start.Add(time.Second))
+	table.RecordReport(theEngine, workTimeReport(1.2), start)
+	got := estimateAt(table, start.Add(time.Second))
 	if !got.HasReport || got.Usual != 1.2 || got.Now != 1.2 || got.Age != time.Second {
 		t.Errorf("%+v", got)
 	}
@@ -84,72 +84,72 @@
 	}
 }
 
-// Guards against a short slow phase of a machine being taken for its usual pace, and
-// against one that counts after it has ended.
-func TestSlowPhaseCountsForItsTime(t *testing.T) {
+// Guards against a short slow phase of a machine counting as its usual pace, and against
+// a slow phase that still counts after it has ended.
+func TestSlowPhaseCountsOnlyWhileItLasts(t *testing.T) {
 	table := NewTable()
-	table.RecordReport(theEngine, told(0.55), start)
+	table.RecordReport(theEngine, workTimeReport(0.55), start)
 	slow := start.Add(time.Second)
-	table.RecordReport(theEngine, told(1.375), slow)
-	own := table.Own(slow.Add(nowLife))[theEngine]
-	if got := at(table, slow.Add(nowLife)); got.Usual != 0.55 || got.Now != 1.375 || !own.Slowed(slow.Add(nowLife)) {
+	table.RecordReport(theEngine, workTimeReport(1.375), slow)
+	own := table.Own(slow.Add(currentMaxAge))[theEngine]
+	if got := estimateAt(table, slow.Add(currentMaxAge)); got.Usual != 0.55 || got.Now != 1.375 || !own.Slowed(slow.Add(currentMaxAge)) {
 		t.Errorf("%+v in the slow phase", got)
 	}
-	after := slow.Add(nowLife + time.Millisecond)
-	if got := at(table, after); got.Usual != 0.55 || got.Now != 0.55 || own.Slowed(after) {
+	after := slow.Add(currentMaxAge + time.Millisecond)
+	if got := estimateAt(table, after); got.Usual != 0.55 || got.Now != 0.55 || own.Slowed(after) {
 		t.Errorf("%+v after it", got)
 	}
 }
 
-// Guards against an engine that goes by its former pace for good after it has turned
-// slow: the least figure of all times would never rise.
-func TestEngineThatTurnsSlowIsFollowedWithinTheWindows(t *testing.T) {
+// Guards against an engine that has become slow counting as fast permanently: a minimum
+// over all time would never rise.
+func TestSlowedEngineIsDetectedWithinTwoWindows(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := NewTable()
 		pause := time.Duration(rapid.IntRange(20, 3000).Draw(t, "pause in ms")) * time.Millisecond
 		turns := start.Add(time.Duration(rapid.IntRange(1, 30_000).Draw(t, "turns slow after ms")) * time.Millisecond)
-		last := start // fast report
+		last := start // time of the last fast report
 		for now := start; now < turns.Add(MaxAge+pause); now = now.Add(pause) {
 			if now < turns {
-				table.RecordReport(theEngine, told(0.55), now)
+				table.RecordReport(theEngine, workTimeReport(0.55), now)
 				last = now
 			} else {
-				table.RecordReport(theEngine, told(2), now)
+				table.RecordReport(theEngine, workTimeReport(2), now)
 			}
 			want := 0.55
 			if now.Sub(last) >= MaxAge {
 				want = 2
 			}
-			got := at(table, now).Usual
+			got := estimateAt(table, now).Usual
 			if got != want && now.Sub(last) < window {
-				t.Fatalf("%v %v after the last fast answer, too early", got, now.Sub(last))
+				t.Fatalf("usual work time %v %v after the last fast report, too early", got, now.Sub(last))
 			}
 			if got != want && now.Sub(last) >= MaxAge {
-				t.Fatalf("%v %v after the last fast answer, too late", got, now.Sub(last))
+				t.Fatalf("usual work time %v %v after the last fast report, too late", got, now.Sub(last))
 			}
 		}
 	})
 }
 
-// Guards against a restarted server that goes by what the one before it told, and
+// Guards against a restarted server inheriting the reports of its predecessor, and
 // against tables that grow with each restart.
 func TestRestartedServerStartsEmpty(t *testing.T) {
 	const restarted = theEngine + 1
 	table := NewTable()
-	table.RecordReport(theEngine, told(3), start)
+	table.RecordReport(theEngine, workTimeReport(3), start)
 	table.RecordFirstEvent(theEngine, 5000, time.Second, start)
-	if got := NewSnapshot(table.Own(start), nil, func(uint32) float64 { return rate }, start).Engine(restarted); got != average {
-		t.Errorf("%+v of a server that has told nothing", got)
+	if got := NewSnapshot(table.Own(start), nil, func(uint32) float64 { return rate }, start).Engine(restarted); got != averageEstimate {
+		t.Errorf("%+v of a server that has reported nothing", got)
 	}
 	table.Retain(map[uint32]bool{restarted: true})
 	if got := table.Own(start); got != nil {
-		t.Errorf("%+v is kept of a server that is not listed", got)
+		t.Errorf("%+v is kept for a server that is not listed", got)
 	}
 }
 
-// Guards against an engine that reports a pace which it does not have: one that claims
-// to be fast would draw all prompts.
-func TestContradictedEngineGoesByWhatIsSeen(t *testing.T) {
+// Guards against an engine that reports a wrong pace: one that claims to be fast would
+// attract all prompts.
+func TestContradictedEngineIsEstimatedByObservation(t *testing.T) {
 	for _, test := range []struct {
 		name             string
 		reported, really float64 // work times
@@ -161,30 +161,30 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			table := NewTable()
-			table.RecordReport(theEngine, told(test.reported), start)
-			took := time.Duration(test.really * float64(time.Second) / 2) // for 5,000 tokens
+			table.RecordReport(theEngine, workTimeReport(test.reported), start)
+			elapsed := time.Duration(test.really * float64(time.Second) / 2) // for 5,000 tokens
 			now := start
-			for seconds := 0.0; seconds < 2; seconds += took.Seconds() {
-				table.RecordFirstEvent(theEngine, rate/2, took, now)
+			for seconds := 0.0; seconds < 2; seconds += elapsed.Seconds() {
+				table.RecordFirstEvent(theEngine, rate/2, elapsed, now)
 			}
-			if got := at(table, now); got.Usual != test.reported {
-				t.Errorf("%+v by too little reading", got)
+			if got := estimateAt(table, now); got.Usual != test.reported {
+				t.Errorf("%+v after too little reading", got)
 			}
 			for range 20 {
-				table.RecordFirstEvent(theEngine, rate/2, took, now)
+				table.RecordFirstEvent(theEngine, rate/2, elapsed, now)
 			}
-			got := at(table, now)
+			got := estimateAt(table, now)
 			if math.Abs(got.Usual-test.want) > 0.01 || got.Contradicted != (test.want != test.reported) {
 				t.Errorf("%+v, want %v", got, test.want)
 			}
 			if want := rate / test.really; math.Abs(got.Rate-want) > 0.3*want {
-				t.Errorf("reads %v tokens a second, want some %v", got.Rate, want)
+				t.Errorf("reads %v tokens a second, want about %v", got.Rate, want)
 			}
 		})
 	}
 }
 
-// Guards against contradictions by a service's rate that is not known.
+// Guards against contradictions by a service's rate that is unknown.
 func TestNothingIsContradictedWithoutARateOfTheService(t *testing.T) {
 	own := map[uint32]Observation{theEngine: {Usual: 0.5, ReadTokens: 1, ReadSeconds: 100}}
 	got := NewSnapshot(own, nil, func(uint32) float64 { return 0 }, start).Engine(theEngine)
@@ -193,33 +193,33 @@
 	}
 }
 
-// Guards against a router that goes on after a pause by figures from before it.
-func TestPausedRoutersFiguresStopCounting(t *testing.T) {
+// Guards against a router that uses old observations after a pause.
+func TestObservationsExpire(t *testing.T) {
 	table := NewTable()
-	table.RecordReport(theEngine, told(3), start)
+	table.RecordReport(theEngine, workTimeReport(3), start)
 	others := Observation{Usual: 3, Now: 4, NowAt: start}
-	if got := at(table, start.Add(window-1)); got.Usual != 3 {
+	if got := estimateAt(table, start.Add(window-1)); got.Usual != 3 {
 		t.Errorf("%+v during the window", got)
 	}
-	if got := at(table, start.Add(MaxAge)); got != average {
+	if got := estimateAt(table, start.Add(MaxAge)); got != averageEstimate {
 		t.Errorf("%+v after %v", got, MaxAge)
 	}
 	if got := others.Decayed(MaxAge - 1); got.Usual != 3 {
-		t.Errorf("%+v of others just before %v", got, MaxAge)
+		t.Errorf("%+v of other routers just before %v", got, MaxAge)
 	}
 	after := start.Add(MaxAge)
 	snapshot := NewSnapshot(nil, map[uint32]Observation{theEngine: others.Decayed(MaxAge)}, func(uint32) float64 { return rate }, after)
-	if got := snapshot.Engine(theEngine); got != average {
-		t.Errorf("%+v of others after %v", got, MaxAge)
+	if got := snapshot.Engine(theEngine); got != averageEstimate {
+		t.Errorf("%+v of other routers after %v", got, MaxAge)
 	}
 }
 
-// Guards against observations of servers that tell no work time: beats would grow in
-// deployments that have no use for them.
-func TestNothingIsKeptOfServersThatTellNothing(t *testing.T) {
+// Guards against tracking servers that report no work time: heartbeats would grow in
+// deployments that have no use for it.
+func TestServersWithoutReportsAreNotTracked(t *testing.T) {
 	table := NewTable()
 	for _, workTime := range []float64{0, -1, 0.009, 101, math.NaN(), math.Inf(1)} {
-		table.RecordReport(theEngine, told(workTime), start)
+		table.RecordReport(theEngine, workTimeReport(workTime), start)
 	}
 	table.RecordFirstEvent(theEngine, 1000, time.Second, start)
 	table.RecordStreamEnd(theEngine, true, start)
@@ -228,10 +228,10 @@
 	}
 }
 
-// Guards against figures of one router that hide those of others.
+// Guards against observations of one router hiding those of others.
 func TestSnapshotMergesOwnAndOthers(t *testing.T) {
 	table := NewTable()
-	table.RecordReport(theEngine, told(1.2), start)
+	table.RecordReport(theEngine, workTimeReport(1.2), start)
 	table.RecordStreamEnd(theEngine, true, start)
 	others := map[uint32]Observation{
 		theEngine:     {Usual: 1, Now: 2.5, NowAt: start.Add(time.Millisecond), Streams: 3},
@@ -243,6 +243,6 @@
 		t.Errorf("%+v", got)
 	}
 	if got := snapshot.Engine(theEngine + 1); got.Usual != 0.6 || got.Late != 1 || got.Age >= 0 {
-		t.Errorf("%+v of a server that only others have seen", got)
+		t.Errorf("%+v of a server that only other routers have observed", got)
 	}
 }
