--- a/internal/gate/admission.go
+++ b/internal/gate/admission.go
@@ -30,7 +30,7 @@
 	// permit is that of a cold backend server, nil for a warm one.
 	permit *slowstart.Permit
 	// plain is the place at a plain server under admission control, else nil.
-	plain  *plainPlace
+	plain  *plainPlacement
 	inputs Inputs
 }
 
@@ -41,7 +41,7 @@
 	zone        fleet.Zone
 	loads       *loads
 	peers       Peers
-	kept        *keptParts
+	segments    *segmentIndex
 	lists       *listCache
 	cold        *coldServers
 	unavailable *unavailableServers
@@ -60,7 +60,7 @@
 		zone:        zone,
 		loads:       loads,
 		peers:       peers,
-		kept:        newKeptParts(),
+		segments:    newSegmentIndex(),
 		lists:       newListCache(),
 		cold:        newColdServers(settings, peers),
 		unavailable: newUnavailableServers(),
@@ -72,7 +72,7 @@
 
 // recordRequest counts a request that has arrived.
 func (a *admission) recordRequest(request *Request) {
-	if !request.takesShare() {
+	if !request.countsTowardShare() {
 		return
 	}
 	a.mu.Lock()
@@ -92,7 +92,7 @@
 // recordUnrelatedRefusal notes that a request was turned away for another reason than what its
 // engines can do: what accounts get meanwhile says nothing of the engines.
 func (a *admission) recordUnrelatedRefusal(request *Request) {
-	if !request.takesShare() {
+	if !request.countsTowardShare() {
 		return
 	}
 	a.mu.Lock()
@@ -104,18 +104,18 @@
 // there, or refuses it. excluded are backend servers that failed it before.
 func (a *admission) place(request *Request, view *knowledge.View, excluded map[string]bool) (*placement, *Refusal) {
 	now := boottime.Now()
-	cold := a.cold.of(view, request.Service, now)
-	sound := a.sound(view, request.Service, excluded, now)
-	usable := a.cold.open(cold, sound, now)
+	cold := a.cold.bounds(view, request.Service, now)
+	candidates := a.candidates(view, request.Service, excluded, now)
+	usable := a.cold.usable(cold, candidates, now)
 	if len(usable) == 0 {
 		a.recordUnrelatedRefusal(request)
-		return nil, a.refuseAll(request, view, len(sound), now)
+		return nil, a.refuseAll(request, view, len(candidates), now)
 	}
 	placed, refusal := a.placeAmong(request, view, usable, len(excluded) > 0)
 	if refusal != nil {
 		return nil, refusal
 	}
-	permit, ok := a.cold.take(cold, placed.backend, now)
+	permit, ok := a.cold.acquire(cold, placed.backend, now)
 	if !ok {
 		// Another request has just taken the last permit, so that the next look
 		// finds this backend server closed.
@@ -128,9 +128,9 @@
 
 // placeAmong chooses one of the usable backend servers for the request and counts
 // the request in there, or refuses it. again tells that one has failed it before.
-func (a *admission) placeAmong(request *Request, view *knowledge.View, usable []*knowledge.Backend, again bool) (*placement, *Refusal) {
+func (a *admission) placeAmong(request *Request, view *knowledge.View, usable []*knowledge.Backend, retried bool) (*placement, *Refusal) {
 	if request.Prompt.Tokens > 0 {
-		return a.placeModel(request, view, usable, again)
+		return a.placeModel(request, view, usable, retried)
 	}
 	if a.settings.get().Plain.Admission && !request.Route.Stream {
 		return a.placeBounded(request, view, usable)
@@ -175,10 +175,10 @@
 	if !placed.model || placed.load.Pending == 0 {
 		return
 	}
-	a.kept.note(request.Prompt.SharedSegment(), placed.backend)
-	a.loads.first(placed.backend.Incarnation, placed.load.Pending)
+	a.segments.recordRead(request.Prompt.SharedSegment(), placed.backend)
+	a.loads.removePending(placed.backend.Incarnation, placed.load.Pending)
 	if placed.permit == nil { // a cold engine does not tell what engines can do
-		a.loads.read(request.Service, placed.pending, a.paces.read(placed.backend, placed.pending, took))
+		a.loads.recordReading(request.Service, placed.pending, a.paces.recordReading(placed.backend, placed.pending, took))
 	}
 	placed.load.Pending = 0
 }
@@ -190,15 +190,15 @@
 // same reason an engine that is still cold does not count.
 func (a *admission) recordStreamEnd(service fleet.Service, placed *placement, late bool) {
 	if placed.permit == nil {
-		a.loads.noteLate(service, late)
-		a.paces.streamed(placed.backend, late)
+		a.loads.recordLateness(service, late)
+		a.paces.recordStreamEnd(placed.backend, late)
 	}
 }
 
 // release counts a placed request out. ran is false when it did not run.
 func (a *admission) release(request *Request, placed *placement, ran bool) {
 	if placed.plain != nil {
-		a.leavePlain(placed, ran)
+		a.releasePlain(placed, ran)
 	} else {
 		a.loads.end(placed.backend.Incarnation, placed.load)
 	}
--- a/internal/gate/budget.go
+++ b/internal/gate/budget.go
@@ -15,10 +15,10 @@
 	Window time.Duration // sliding
 }
 
-// budgetMargin is the part of the fleet's budget that the routers use. The
+// usedBudgetShare is the part of the fleet's budget that the routers use. The
 // rest covers requests that are counted in another window than the second
 // sends that they paid for, and routers that do not know of each other yet.
-const budgetMargin = 0.6
+const usedBudgetShare = 0.6
 
 // bucket holds the second sends that may still be made to one service.
 type bucket struct {
@@ -39,9 +39,9 @@
 	return &retryBudget{settings: settings, peers: peers, services: make(map[fleet.Service]*bucket)}
 }
 
-// most is what this router may spend at once: its part of the fleet's extra.
-func (b *retryBudget) most() float64 {
-	return b.settings.get().Budget.Extra * budgetMargin / float64(max(b.peers.Routers(), 1))
+// limit is what this router may spend at once: its part of the fleet's extra.
+func (b *retryBudget) limit() float64 {
+	return b.settings.get().Budget.Extra * usedBudgetShare / float64(max(b.peers.Routers(), 1))
 }
 
 func (b *retryBudget) bucket(service fleet.Service) *bucket {
@@ -49,12 +49,12 @@
 	now := boottime.Now()
 	if known == nil {
 		// Half of it, as this process may have spent some before a restart.
-		known = &bucket{tokens: b.most() / 2, at: now}
+		known = &bucket{tokens: b.limit() / 2, at: now}
 		b.services[service] = known
 	}
 	// The part that does not depend on requests comes back over a window.
-	passed := now.Sub(known.at).Seconds()
-	known.tokens = min(known.tokens+passed*b.most()/2/b.settings.get().Budget.Window.Seconds(), b.most())
+	elapsed := now.Sub(known.at).Seconds()
+	known.tokens = min(known.tokens+elapsed*b.limit()/2/b.settings.get().Budget.Window.Seconds(), b.limit())
 	known.at = now
 	return known
 }
@@ -64,7 +64,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	known := b.bucket(service)
-	known.tokens = min(known.tokens+b.settings.get().Budget.Ratio*budgetMargin, b.most())
+	known.tokens = min(known.tokens+b.settings.get().Budget.Ratio*usedBudgetShare, b.limit())
 }
 
 // spend takes one second send and tells whether it may be made.
--- a/internal/gate/cold.go
+++ b/internal/gate/cold.go
@@ -19,9 +19,9 @@
 	Slack     float64
 }
 
-// coldLife is how long it is remembered which backend servers of a service are cold.
+// coldListTTL is how long it is remembered which backend servers of a service are cold.
 // Looking through a long list for each request would cost more than the decision.
-const coldLife = 50 * time.Millisecond
+const coldListTTL = 50 * time.Millisecond
 
 // coldServers tells which backend servers are cold, and what each may get of this
 // router. Its methods may be called concurrently.
@@ -30,7 +30,7 @@
 	limiter  *slowstart.Limiter
 
 	mu       sync.Mutex
-	warned   map[string]boottime.Instant // by incarnation: until when it may be cold, as seen at its connections
+	marked   map[string]boottime.Instant // by incarnation: until when it may be cold, as seen at its connections
 	services map[fleet.Service]coldList
 }
 
@@ -45,21 +45,21 @@
 // counts at once: a server that has just appeared would else be taken for a warm one.
 func (l coldList) fresh(serving []*knowledge.Backend, now boottime.Instant) bool {
 	same := len(l.serving) == len(serving) && (len(serving) == 0 || &l.serving[0] == &serving[0])
-	return same && now.Sub(l.at) < coldLife
+	return same && now.Sub(l.at) < coldListTTL
 }
 
 func newColdServers(settings *currentSettings, peers Peers) *coldServers {
 	return &coldServers{
 		settings: settings,
 		limiter:  slowstart.NewLimiter(peers),
-		warned:   make(map[string]boottime.Instant),
+		marked:   make(map[string]boottime.Instant),
 		services: make(map[fleet.Service]coldList),
 	}
 }
 
-// of returns the bounds of the service's cold backend servers by incarnation, nil if
+// bounds returns the bounds of the service's cold backend servers by incarnation, nil if
 // none is cold. The map must not be changed.
-func (c *coldServers) of(view *knowledge.View, service fleet.Service, now boottime.Instant) map[string]slowstart.Bound {
+func (c *coldServers) bounds(view *knowledge.View, service fleet.Service, now boottime.Instant) map[string]slowstart.Bound {
 	settings := view.Index.Service(service)
 	bound := c.bound(settings)
 	if bound.Usable() == 0 {
@@ -97,7 +97,7 @@
 // that has been evacuated may have started again just before it was taken back, which
 // their entries tell only with their next heartbeat.
 func (c *coldServers) coldUntil(view *knowledge.View, settings *knowledge.ServiceSettings, backend *knowledge.Backend) boottime.Instant {
-	until := max(backend.ColdUntil, c.warned[backend.Incarnation])
+	until := max(backend.ColdUntil, c.marked[backend.Incarnation])
 	if returned, ok := view.Evacuations.ReturnedAt[backend.Zone]; ok {
 		until = max(until, returned.Add(settings.ColdStart))
 	}
@@ -105,19 +105,19 @@
 }
 
 // markCold tells that a backend server may be cold for the time.
-func (c *coldServers) markCold(incarnation string, left time.Duration) {
-	if left <= 0 {
+func (c *coldServers) markCold(incarnation string, remaining time.Duration) {
+	if remaining <= 0 {
 		return
 	}
 	now := boottime.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for known, until := range c.warned {
+	for known, until := range c.marked {
 		if now > until {
-			delete(c.warned, known)
+			delete(c.marked, known)
 		}
 	}
-	c.warned[incarnation] = max(c.warned[incarnation], now.Add(left))
+	c.marked[incarnation] = max(c.marked[incarnation], now.Add(remaining))
 	clear(c.services)
 }
 
@@ -125,13 +125,13 @@
 // start again behind a cut, under its id, without an entry that tells so.
 func (c *coldServers) assumeRestart(view *knowledge.View, backend *knowledge.Backend) {
 	if settings := view.Index.Service(backend.Service); settings != nil && settings.ColdRate > 0 {
-		c.markCold(backend.Incarnation, brokenShun+settings.ColdStart)
+		c.markCold(backend.Incarnation, connectEjectionTime+settings.ColdStart)
 	}
 }
 
-// open returns the backend servers that may get a request of this router now: the warm
+// usable returns the backend servers that may get a request of this router now: the warm
 // ones, and the cold ones of whose bounds it has a part left.
-func (c *coldServers) open(cold map[string]slowstart.Bound, backends []*knowledge.Backend, now boottime.Instant) []*knowledge.Backend {
+func (c *coldServers) usable(cold map[string]slowstart.Bound, backends []*knowledge.Backend, now boottime.Instant) []*knowledge.Backend {
 	if len(cold) == 0 {
 		return backends
 	}
@@ -141,9 +141,9 @@
 	})
 }
 
-// take takes the permit for one request to the backend server, nil if it is warm. It
+// acquire takes the permit for one request to the backend server, nil if it is warm. It
 // returns false when the server gets nothing of this router now.
-func (c *coldServers) take(cold map[string]slowstart.Bound, backend *knowledge.Backend, now boottime.Instant) (*slowstart.Permit, bool) {
+func (c *coldServers) acquire(cold map[string]slowstart.Bound, backend *knowledge.Backend, now boottime.Instant) (*slowstart.Permit, bool) {
 	bound, isCold := cold[backend.Incarnation]
 	if !isCold {
 		return nil, true
--- a/internal/gate/cold_test.go
+++ b/internal/gate/cold_test.go
@@ -33,7 +33,7 @@
 
 func isCold(cold *coldServers, view *knowledge.View, id string, at boottime.Instant) bool {
 	backend := view.Backends[id]
-	_, found := cold.of(view, backend.Service, at)[backend.Incarnation]
+	_, found := cold.bounds(view, backend.Service, at)[backend.Incarnation]
 	return found
 }
 
@@ -52,7 +52,7 @@
 	}
 	permits := 0
 	for range 100 {
-		if permit, ok := cold.take(cold.of(view, "s", now), view.Backends["i-2"], now); ok {
+		if permit, ok := cold.acquire(cold.bounds(view, "s", now), view.Backends["i-2"], now); ok {
 			permit.MarkSent(now)
 			permits++
 		}
@@ -60,7 +60,7 @@
 	if permits != 15 {
 		t.Errorf("%d requests at once, want 15", permits)
 	}
-	open := cold.open(cold.of(view, "s", now), view.Serving["s"], now)
+	open := cold.usable(cold.bounds(view, "s", now), view.Serving["s"], now)
 	if len(open) != 1 || open[0].ID != "i-1" {
 		t.Errorf("open: %v", open)
 	}
@@ -96,7 +96,7 @@
 // Events: they start again while the zone is evacuated; their entries tell it only
 // with the next heartbeat.
 // Cause: they were taken for warm until then.
-func TestZoneTakenBackIsCold(t *testing.T) {
+func TestReturnedZoneIsCold(t *testing.T) {
 	cold := newColdServers(coldSettings(), noPeers{})
 	state := coldState(0)
 	state.SetEvacuations([]fleet.Zone{"b"}, knowledge.Position{Revision: 10}, boottime.Now())
--- a/internal/gate/config.go
+++ b/internal/gate/config.go
@@ -125,17 +125,17 @@
 	connectionMemory = 24 << 10
 	// connectionMemoryShare is the part of the memory that they may take.
 	connectionMemoryShare = 0.3
-	// keptDescriptors is the part of the descriptors that files need.
-	keptDescriptors = 200
+	// reservedDescriptors is the part of the descriptors that files need.
+	reservedDescriptors = 200
 	// heapShare is the part of the memory that the Go runtime may use before
 	// it collects more eagerly.
 	heapShare = 0.75
-	// keyedShare is the part of the bound for withdrawn keys at which requests
+	// keyMaxAgeShare is the part of the bound for withdrawn keys at which requests
 	// with keys are refused: the users count no request beyond 0.6 of it.
-	keyedShare = 0.8
-	// finalShare is the part of the bound for configurations from which an
+	keyMaxAgeShare = 0.8
+	// denialMaxAgeShare is the part of the bound for configurations from which an
 	// unknown route is not denied for good.
-	finalShare = 0.9
+	denialMaxAgeShare = 0.9
 	// bytesPerMB converts the settings' unit.
 	bytesPerMB = 1 << 20
 )
@@ -145,7 +145,7 @@
 
 // MaxConnections returns the most callers' connections at once.
 func (s VMSection) MaxConnections() int {
-	byDescriptors := float64(s.Descriptors-keptDescriptors) * descriptorShare
+	byDescriptors := float64(s.Descriptors-reservedDescriptors) * descriptorShare
 	byMemory := float64(s.MemoryMB*bytesPerMB) * connectionMemoryShare / connectionMemory
 	return max(int(min(byDescriptors, byMemory)), 16)
 }
@@ -159,8 +159,8 @@
 	admission.GapShare = c.Engines.ProtectStreams
 	return Settings{
 		Freshness: Freshness{
-			KeyMaxAge:    time.Duration(float64(c.Bounds.Revoke) * keyedShare),
-			DenialMaxAge: time.Duration(float64(c.Bounds.Apply) * finalShare),
+			KeyMaxAge:    time.Duration(float64(c.Bounds.Revoke) * keyMaxAgeShare),
+			DenialMaxAge: time.Duration(float64(c.Bounds.Apply) * denialMaxAgeShare),
 		},
 		Revoke: c.Bounds.Revoke,
 		Budget: RetryBudgetSettings{
--- a/internal/gate/decisions_test.go
+++ b/internal/gate/decisions_test.go
@@ -40,7 +40,7 @@
 // Symptom: a withdrawn key is taken, or a new route is denied for good.
 // Events: the store does not reach the router; the configuration changes.
 // Cause: the router went by what it knew, however old.
-func TestOldKnowledgeDeniesNothingAndTakesNoKey(t *testing.T) {
+func TestStaleConfigurationDeniesNothingAndAcceptsNoKey(t *testing.T) {
 	fresh := Freshness{KeyMaxAge: 4 * time.Second, DenialMaxAge: 1800 * time.Millisecond}
 	for _, test := range []struct {
 		age       time.Duration
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestNothingIsKnown(t *testing.T) {
+func TestNoStateReceived(t *testing.T) {
 	refusal := identify(&Request{Host: "h", Path: "/a/x"}, knowledge.NewState().View(), Freshness{}, 0)
 	if refusal == nil || refusal.Status != http.StatusServiceUnavailable || refusal.RetryAfter == 0 {
 		t.Errorf("%+v, want 503 with a time", refusal)
@@ -133,8 +133,8 @@
 	tokens := 5000.0
 	for range 300 {
 		loads.begin("i", BackendLoad{Running: 1, Pending: tokens})
-		loads.first("i", tokens)
-		loads.read("s", tokens, time.Duration(tokens/real*float64(time.Second)))
+		loads.removePending("i", tokens)
+		loads.recordReading("s", tokens, time.Duration(tokens/real*float64(time.Second)))
 	}
 	if got := loads.rate("s", assumed); got < 0.85*real || got > real {
 		t.Errorf("%v prompt tokens a second, they were %v", got, real)
@@ -147,22 +147,22 @@
 // Symptom: a backend server that fails gets its share of requests.
 // Events: it answers with errors while its health check is good.
 // Cause: answers were not looked at.
-func TestFailingBackendIsShunnedForAWhile(t *testing.T) {
+func TestFailingBackendIsEjectedForATime(t *testing.T) {
 	loads := newLoads()
 	now := boottime.Now()
 	for range 10 {
 		loads.recordAnswer("i", false, 0)
 	}
-	if !loads.shunnedNow(now)["i"] {
+	if !loads.ejectedAt(now)["i"] {
 		t.Error("it is not shunned")
 	}
-	if loads.shunnedNow(now.Add(2 * shunTime))["i"] {
+	if loads.ejectedAt(now.Add(2 * ejectionTime))["i"] {
 		t.Error("it is never tried again")
 	}
 	for i := range 50 {
 		loads.recordAnswer("j", i%7 != 0, time.Millisecond)
 	}
-	if loads.shunnedNow(now)["j"] {
+	if loads.ejectedAt(now)["j"] {
 		t.Error("a seventh of failures is usual for some services")
 	}
 }
@@ -171,8 +171,8 @@
 	loads := newLoads()
 	load := BackendLoad{Running: 1, Pending: 10, Memory: 20}
 	loads.begin("i", load)
-	loads.first("i", 10)
-	loads.read("s", 10, time.Millisecond)
+	loads.removePending("i", 10)
+	loads.recordReading("s", 10, time.Millisecond)
 	load.Pending = 0
 	loads.end("i", load)
 	if got, _ := loads.get("i"); got != (BackendLoad{}) {
@@ -184,7 +184,7 @@
 	}
 }
 
-func TestPromptParts(t *testing.T) {
+func TestPromptSegments(t *testing.T) {
 	prompt := Prompt{Tokens: 1460, MaxOutput: 80, ExpectedOutput: 50, Segments: []PromptSegment{{"a", 800}, {"b", 410}, {"c", 250}}}
 	if got := prompt.SharedSegment(); got != "b" {
 		t.Errorf("shared part %q", got)
--- a/internal/gate/holder_test.go
+++ b/internal/gate/fetchsource_test.go
@@ -12,8 +12,8 @@
 	"github.com/bluebellchute/bluebellchute/internal/selection"
 )
 
-// partFleet is a fleet of engines in the order of a part's key, the home first.
-type partFleet struct {
+// segmentFleet is a fleet of engines in the order of a part's key, the home first.
+type segmentFleet struct {
 	state   *knowledge.State
 	a       *admission
 	request *Request
@@ -25,8 +25,8 @@
 	return knowledge.Backend{ID: id, Service: "s", Address: fleet.Address(id + ":1"), Slots: 64, Zone: fleet.Zone(id)}
 }
 
-// newPartFleet lists engines; the part of its request prefers them in the order of ids.
-func newPartFleet() *partFleet {
+// newSegmentFleet lists engines; the part of its request prefers them in the order of ids.
+func newSegmentFleet() *segmentFleet {
 	request := &Request{Service: "s", Prompt: Prompt{Tokens: 3000, Segments: []PromptSegment{{"shared", 2000}, {"own", 1000}}}}
 	ids := []string{"i-1", "i-2", "i-3", "i-4", "i-5"}
 	key := selection.Hash(request.Prompt.SharedSegment())
@@ -37,7 +37,7 @@
 		return 1
 	})
 	settings := newCurrentSettings(Settings{Admission: policy.Defaults(), Evacuate: 4 * time.Second})
-	f := &partFleet{state: knowledge.NewState(), a: newAdmission(settings, "z", noPeers{}), request: request, ids: ids}
+	f := &segmentFleet{state: knowledge.NewState(), a: newAdmission(settings, "z", noPeers{}), request: request, ids: ids}
 	f.state.SetConfiguration(&knowledge.Configuration{
 		Version:  1,
 		Services: []knowledge.ServiceSettings{{Name: "s", Fetches: true}},
@@ -46,7 +46,7 @@
 }
 
 // list makes the engines with the places in the part's order the whole list.
-func (f *partFleet) list(places ...int) {
+func (f *segmentFleet) list(places ...int) {
 	var backends []knowledge.Backend
 	for _, place := range places {
 		backends = append(backends, entryOf(f.ids[place]))
@@ -54,22 +54,22 @@
 	f.state.SetBackends(backends, knowledge.Position{Revision: f.state.View().Position.Revision + 1}, boottime.Now())
 }
 
-// holder returns the place of the engine that the one with the place fetches from, -1
+// fetchSource returns the place of the engine that the one with the place fetches from, -1
 // for none.
-func (f *partFleet) holder(place int, at boottime.Instant) int {
+func (f *segmentFleet) fetchSource(place int, at boottime.Instant) int {
 	view := f.state.View()
-	search := &modelSearch{request: f.request, view: view, part: f.request.Prompt.SharedSegment()}
-	address := f.a.holder(search, view.Backends[f.ids[place]], at)
+	search := &modelSearch{request: f.request, view: view, segment: f.request.Prompt.SharedSegment()}
+	address := f.a.fetchSource(search, view.Backends[f.ids[place]], at)
 	return slices.IndexFunc(f.ids, func(id string) bool { return entryOf(id).Address == address })
 }
 
-func TestHomeFetchesNothing(t *testing.T) {
-	f := newPartFleet()
+func TestPreferredEngineFetchesNothing(t *testing.T) {
+	f := newSegmentFleet()
 	f.list(0, 1, 2)
-	if got := f.holder(0, boottime.Now()); got != -1 {
+	if got := f.fetchSource(0, boottime.Now()); got != -1 {
 		t.Errorf("the home fetches from engine %d", got)
 	}
-	if got := f.holder(1, boottime.Now()); got != 0 {
+	if got := f.fetchSource(1, boottime.Now()); got != 0 {
 		t.Errorf("the second fetches from engine %d, want the home", got)
 	}
 }
@@ -77,18 +77,18 @@
 // Symptom: shared parts are read again at the moment when engines are added.
 // Events: an engine appears and is the home of many parts from now on.
 // Cause: a home was taken for one that keeps its parts.
-func TestNewHomeFetchesFromTheFormerOne(t *testing.T) {
-	f := newPartFleet()
+func TestNewPreferredEngineFetchesFromThePreviousOne(t *testing.T) {
+	f := newSegmentFleet()
 	f.list(1, 2)
 	f.list(0, 1, 2)
 	now := boottime.Now()
-	if got := f.holder(0, now); got != 1 {
+	if got := f.fetchSource(0, now); got != 1 {
 		t.Errorf("the new home fetches from engine %d, want the former one", got)
 	}
-	if got := f.holder(2, now); got != 1 {
+	if got := f.fetchSource(2, now); got != 1 {
 		t.Errorf("another one fetches from engine %d, want the former home", got)
 	}
-	if got := f.holder(0, now.Add(youngFor+time.Second)); got != -1 {
+	if got := f.fetchSource(0, now.Add(recentStartPeriod+time.Second)); got != -1 {
 		t.Errorf("a home that is no longer new fetches from engine %d", got)
 	}
 }
@@ -96,32 +96,32 @@
 // Symptom: shared parts are read again when an engine leaves or its zone is evacuated.
 // Events: the home gets nothing any more; the next engine gets its requests.
 // Cause: only engines that take requests were asked for parts.
-func TestHomeThatGetsNothingGivesItsParts(t *testing.T) {
-	f := newPartFleet()
+func TestSegmentsAreFetchedFromADrainingEngine(t *testing.T) {
+	f := newSegmentFleet()
 	f.list(0, 1, 2)
-	leaving := entryOf(f.ids[0])
-	leaving.Draining = true
-	setBackend(f.state, leaving, 50)
-	if got := f.holder(1, boottime.Now()); got != 0 {
+	draining := entryOf(f.ids[0])
+	draining.Draining = true
+	setBackend(f.state, draining, 50)
+	if got := f.fetchSource(1, boottime.Now()); got != 0 {
 		t.Errorf("fetched from engine %d, want the one that leaves", got)
 	}
 	setBackend(f.state, entryOf(f.ids[0]), 51)
 	f.state.SetEvacuations([]fleet.Zone{fleet.Zone(f.ids[0])}, knowledge.Position{Revision: 52}, boottime.Now())
-	if got := f.holder(1, boottime.Now()); got != 0 {
+	if got := f.fetchSource(1, boottime.Now()); got != 0 {
 		t.Errorf("fetched from engine %d, want the one that is evacuated", got)
 	}
-	if got := f.holder(1, boottime.Now().Add(3*time.Second)); got == 0 {
+	if got := f.fetchSource(1, boottime.Now().Add(3*time.Second)); got == 0 {
 		t.Error("fetched from an evacuated zone near the bound")
 	}
 }
 
 // Engines of a zone that was taken back have probably started again and keep nothing.
 func TestEnginesOfAReturnedZoneFetch(t *testing.T) {
-	f := newPartFleet()
+	f := newSegmentFleet()
 	f.list(0, 1, 2)
 	f.state.SetEvacuations([]fleet.Zone{fleet.Zone(f.ids[0])}, knowledge.Position{Revision: 60}, boottime.Now())
 	f.state.SetEvacuations(nil, knowledge.Position{Revision: 61}, boottime.Now())
-	if got := f.holder(0, boottime.Now()); got != 1 {
+	if got := f.fetchSource(0, boottime.Now()); got != 1 {
 		t.Errorf("fetched from engine %d, want the next one", got)
 	}
 }
--- a/internal/gate/identify.go
+++ b/internal/gate/identify.go
@@ -81,19 +81,19 @@
 
 // identify finds the route, the account and the service of a request, or the
 // refusal. point in [0, 1) chooses among the services of a split route.
-func identify(request *Request, view *knowledge.View, fresh Freshness, point float64) *Refusal {
+func identify(request *Request, view *knowledge.View, fresh Freshness, draw float64) *Refusal {
 	if !view.Ready() {
 		return &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonNoKnowledge, RetryAfter: startRetryAfter}
 	}
 	age := boottime.Now().Sub(view.ConfigurationConfirmedAt)
 	request.Route = view.Index.Route(request.Host, request.Path)
 	if request.Route == nil {
-		return unknown(http.StatusNotFound, ReasonNoRoute, age, fresh)
+		return refuseUnknown(http.StatusNotFound, ReasonNoRoute, age, fresh)
 	}
 	if view.Index.Configuration.KeysRequired && !request.Route.Public {
 		request.Account = view.Index.Account(request.Key)
 		if request.Account == nil {
-			return unknown(http.StatusUnauthorized, ReasonUnknownKey, age, fresh)
+			return refuseUnknown(http.StatusUnauthorized, ReasonUnknownKey, age, fresh)
 		}
 		// The key may have been withdrawn since. Nothing shows that to a
 		// router that the store does not reach but the age of what it knows.
@@ -101,29 +101,29 @@
 			return &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonStaleConfiguration, RetryAfter: startRetryAfter}
 		}
 	}
-	service, ok := request.Route.Destination(point)
+	service, ok := request.Route.Destination(draw)
 	if !ok {
 		return &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonNoBackend, RetryAfter: startRetryAfter}
 	}
 	request.Service = service
-	request.Timeout = limit(request)
+	request.Timeout = requestTimeout(request)
 	return nil
 }
 
-// unknown returns the refusal of a request whose route or key is unknown. A
+// refuseUnknown returns the refusal of a request whose route or key is unknown. A
 // router that may have missed a configuration does not deny for good.
-func unknown(status int, reason Reason, age time.Duration, fresh Freshness) *Refusal {
+func refuseUnknown(status int, reason Reason, age time.Duration, fresh Freshness) *Refusal {
 	if age > fresh.DenialMaxAge {
 		return &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonStaleConfiguration, RetryAfter: startRetryAfter}
 	}
 	return &Refusal{Status: status, Reason: reason}
 }
 
-// limit returns the time within which the request gets its final answer.
-func limit(request *Request) time.Duration {
-	longest := request.Route.Timeout
-	if request.Deadline > 0 && (longest == 0 || request.Deadline < longest) {
+// requestTimeout returns the time within which the request gets its final answer.
+func requestTimeout(request *Request) time.Duration {
+	timeout := request.Route.Timeout
+	if request.Deadline > 0 && (timeout == 0 || request.Deadline < timeout) {
 		return request.Deadline
 	}
-	return longest
+	return timeout
 }
--- a/internal/gate/loads.go
+++ b/internal/gate/loads.go
@@ -52,23 +52,23 @@
 }
 
 const (
-	// failureMemory is the weight of the newest answer in the share of
+	// failureWeight is the weight of the newest answer in the share of
 	// failures of a backend server.
-	failureMemory = 0.2
-	// shunShare is the share of failures from which a backend server gets no
+	failureWeight = 0.2
+	// ejectionFailureRate is the share of failures from which a backend server gets no
 	// requests for a while. Plain services fail up to a seventh of their
 	// requests by their nature.
-	shunShare = 0.6
-	// shunTime is how long that lasts. One request tries it then.
-	shunTime = 1500 * time.Millisecond
-	// brokenShun is how long a backend server gets no requests whose
+	ejectionFailureRate = 0.6
+	// ejectionTime is how long that lasts. One request tries it then.
+	ejectionTime = 1500 * time.Millisecond
+	// connectEjectionTime is how long a backend server gets no requests whose
 	// connection could not be opened.
-	brokenShun = 800 * time.Millisecond
-	// latencyMemory is the weight of the newest latency in the average.
-	latencyMemory = 0.1
-	// loadLife is how long a backend server that is no longer listed is
+	connectEjectionTime = 800 * time.Millisecond
+	// latencyWeight is the weight of the newest latency in the average.
+	latencyWeight = 0.1
+	// unusedStateTTL is how long a backend server that is no longer listed is
 	// remembered, so that requests still running there are counted down.
-	loadLife = time.Minute
+	unusedStateTTL = time.Minute
 )
 
 // backendState is what a router has seen of one backend server.
@@ -91,14 +91,14 @@
 type loads struct {
 	mu       sync.Mutex
 	backends map[string]*backendState
-	shunned  map[string]boottime.Instant // until when they get no requests
+	ejected  map[string]boottime.Instant // until when they get no requests
 	models   map[fleet.Service]*engineModel
 }
 
 func newLoads() *loads {
 	return &loads{
 		backends: make(map[string]*backendState),
-		shunned:  make(map[string]boottime.Instant),
+		ejected:  make(map[string]boottime.Instant),
 		models:   make(map[fleet.Service]*engineModel),
 	}
 }
@@ -121,17 +121,17 @@
 	state.lastUsed = boottime.Now()
 }
 
-// first counts the first event of a request: its prompt of so many tokens has been
+// removePending counts the first event of a request: its prompt of so many tokens has been
 // read.
-func (l *loads) first(id string, own float64) {
+func (l *loads) removePending(id string, tokens float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.state(id).load.Pending -= own
+	l.state(id).load.Pending -= tokens
 }
 
-// read notes how long an engine of the service took to read the tokens that were
+// recordReading notes how long an engine of the service took to read the tokens that were
 // waiting when a request was sent, its own included.
-func (l *loads) read(service fleet.Service, pending float64, took time.Duration) {
+func (l *loads) recordReading(service fleet.Service, pending float64, took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.model(service).rate.Observe(pending, took)
@@ -147,29 +147,29 @@
 	return model
 }
 
-// noteLate notes whether an answer of the service was late.
-func (l *loads) noteLate(service fleet.Service, late bool) {
+// recordLateness notes whether an answer of the service was late.
+func (l *loads) recordLateness(service fleet.Service, late bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.model(service).headroom.Observe(late)
 }
 
 // headroom returns the part of the budgets that is used at the service.
-func (l *loads) headroom(service fleet.Service, least float64) float64 {
+func (l *loads) headroom(service fleet.Service, floor float64) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.model(service).headroom.Value(least)
+	return l.model(service).headroom.Value(floor)
 }
 
 // headrooms returns the headroom of each service.
 func (l *loads) headrooms() map[fleet.Service]float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	parts := make(map[fleet.Service]float64, len(l.models))
+	headrooms := make(map[fleet.Service]float64, len(l.models))
 	for service, model := range l.models {
-		parts[service] = model.headroom.Value(0)
+		headrooms[service] = model.headroom.Value(0)
 	}
-	return parts
+	return headrooms
 }
 
 // rate returns how many prompt tokens an engine of the service reads in a
@@ -199,26 +199,26 @@
 }
 
 // recordAnswer notes an answer and how long it took.
-func (l *loads) recordAnswer(id string, sound bool, took time.Duration) {
+func (l *loads) recordAnswer(id string, success bool, took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	state := l.state(id)
 	failure := 0.0
-	if !sound {
+	if !success {
 		failure = 1
 	}
-	state.failures += (failure - state.failures) * failureMemory
-	if sound && took > 0 {
+	state.failures += (failure - state.failures) * failureWeight
+	if success && took > 0 {
 		if state.latency == 0 {
 			state.latency = took.Seconds()
 		}
-		state.latency += (took.Seconds() - state.latency) * latencyMemory
+		state.latency += (took.Seconds() - state.latency) * latencyWeight
 	}
-	if state.failures > shunShare {
+	if state.failures > ejectionFailureRate {
 		// Half of the memory goes, so that one good answer after the pause
 		// clears the backend server and one bad one shuns it again.
-		state.failures = shunShare * (1 - failureMemory)
-		l.shunned[id] = boottime.Now().Add(shunTime)
+		state.failures = ejectionFailureRate * (1 - failureWeight)
+		l.ejected[id] = boottime.Now().Add(ejectionTime)
 	}
 }
 
@@ -227,20 +227,20 @@
 func (l *loads) recordConnectionFailure(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.shunned[id] = boottime.Now().Add(brokenShun)
+	l.ejected[id] = boottime.Now().Add(connectEjectionTime)
 }
 
-// shunnedNow returns the backend servers that get no requests at present.
-func (l *loads) shunnedNow(now boottime.Instant) map[string]bool {
+// ejectedAt returns the backend servers that get no requests at present.
+func (l *loads) ejectedAt(now boottime.Instant) map[string]bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.shunned) == 0 {
+	if len(l.ejected) == 0 {
 		return nil
 	}
-	shunned := make(map[string]bool, len(l.shunned))
-	for id, until := range l.shunned {
+	shunned := make(map[string]bool, len(l.ejected))
+	for id, until := range l.ejected {
 		if now >= until {
-			delete(l.shunned, id)
+			delete(l.ejected, id)
 			continue
 		}
 		shunned[id] = true
@@ -282,7 +282,7 @@
 	defer l.mu.Unlock()
 	now := boottime.Now()
 	for id, state := range l.backends {
-		if !listed[id] && state.load.Running <= 0 && now.Sub(state.lastUsed) > loadLife {
+		if !listed[id] && state.load.Running <= 0 && now.Sub(state.lastUsed) > unusedStateTTL {
 			delete(l.backends, id)
 		}
 	}
--- a/internal/gate/near_test.go
+++ b/internal/gate/ownzone_test.go
@@ -62,7 +62,7 @@
 // Replays requests of a crowded zone that do not end. Guards against engines of that zone
 // that fill up while those of other zones have room, and against a preference for the own
 // zone that gets lost while there is room.
-func TestCrowdedZoneSpillsOverByRoom(t *testing.T) {
+func TestOverloadedZoneSpillsOver(t *testing.T) {
 	f := newZonedFleet(true)
 	inZone := 0
 	for part := range 600 {
@@ -71,7 +71,7 @@
 		} else if part < 30 {
 			t.Errorf("request %d left its zone while that had as much room as others", part)
 		}
-		if own, others := f.occupied(); own > others+2*nearSlots {
+		if own, others := f.occupied(); own > others+2*ownZoneSlotMargin {
 			t.Fatalf("after %d requests, %.2f of the own zone's slots are taken, of others' %.2f", part+1, own, others)
 		}
 	}
@@ -82,38 +82,38 @@
 
 // Guards against requests that are refused, or placed elsewhere than without the
 // preference, where the own zone has no usable engines.
-func TestZoneWithoutUsableEnginesHasNoHomes(t *testing.T) {
-	near, everywhere := newZonedFleet(true), newZonedFleet(false)
-	for _, f := range []*zonedFleet{near, everywhere} {
+func TestZoneWithoutUsableEnginesIsNotPreferred(t *testing.T) {
+	preferring, indifferent := newZonedFleet(true), newZonedFleet(false)
+	for _, f := range []*zonedFleet{preferring, indifferent} {
 		for _, backend := range f.view.Backends {
 			if backend.Zone == f.zone {
-				f.loads.shunned[backend.Incarnation] = boottime.Now().Add(time.Hour)
+				f.loads.ejected[backend.Incarnation] = boottime.Now().Add(time.Hour)
 			}
 		}
 	}
 	for part := range 100 {
-		got, want := near.place(t, part), everywhere.place(t, part)
-		if got.backend.ID != want.backend.ID || got.backend.Zone == near.zone {
+		got, want := preferring.place(t, part), indifferent.place(t, part)
+		if got.backend.ID != want.backend.ID || got.backend.Zone == preferring.zone {
 			t.Errorf("part %d is placed at %s, want %s", part, got.backend.ID, want.backend.ID)
 		}
-		near.release(near.request, got, true)
-		everywhere.release(everywhere.request, want, true)
+		preferring.release(preferring.request, got, true)
+		indifferent.release(indifferent.request, want, true)
 	}
 }
 
 // Guards against a request that is refused although an engine of its own zone takes it:
 // those that its part prefers in all zones are full, and have less to read.
 func TestOwnZoneTakesWhatNoOtherEngineTakes(t *testing.T) {
-	near := selection.Choice{Fits: true, Wait: 200 * time.Millisecond, SlotsUsed: 0.5}
+	own := selection.Choice{Fits: true, Wait: 200 * time.Millisecond, SlotsUsed: 0.5}
 	for name, elsewhere := range map[string]selection.Choice{
 		"full":       {Wait: 100 * time.Millisecond, SlotsUsed: 1},
 		"disruptive": {Fits: true, Disrupts: true, Wait: 100 * time.Millisecond, SlotsUsed: 0.3},
 	} {
-		if !preferNear(near, elsewhere, time.Second) {
+		if !preferOwnZone(own, elsewhere, time.Second) {
 			t.Errorf("the engine of the own zone is left out where the other one is %s", name)
 		}
 	}
-	if preferNear(near, selection.Choice{Fits: true, Wait: 100 * time.Millisecond, SlotsUsed: 0.5}, time.Second) {
+	if preferOwnZone(own, selection.Choice{Fits: true, Wait: 100 * time.Millisecond, SlotsUsed: 0.5}, time.Second) {
 		t.Error("an engine of the own zone is taken that makes the request wait")
 	}
 }
@@ -143,13 +143,13 @@
 
 // Guards against parts that count as asked seldom because some of their requests find
 // room at homes in the own zone.
-func TestRequestsPlacedInTheOwnZoneCountAsAsked(t *testing.T) {
+func TestRequestsPlacedInTheOwnZoneCountAsDemand(t *testing.T) {
 	f := newZonedFleet(true)
 	for part := range 20 {
 		for range 3 {
 			f.release(f.request, f.place(t, part), true)
 		}
-		if !f.kept.asked(f.request.Prompt.SharedSegment(), boottime.Now()) {
+		if !f.segments.recordRequest(f.request.Prompt.SharedSegment(), boottime.Now()) {
 			t.Errorf("part %d does not count as asked often", part)
 		}
 	}
--- a/internal/gate/pacewatch.go
+++ b/internal/gate/pacemonitor.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	// paceRecords is the pause between two records of changed paces.
-	paceRecords = time.Second
-	// paceChange is the change of a usual work time, as a part of it, that is recorded.
-	paceChange = 0.25
+	// paceLogInterval is the pause between two records of changed paces.
+	paceLogInterval = time.Second
+	// minLoggedChange is the change of a usual work time, as a part of it, that is recorded.
+	minLoggedChange = 0.25
 )
 
 // The results of reports of load.
@@ -28,8 +28,8 @@
 	reportContradicted = "contradicted"
 )
 
-// paceWatch tells operators of paces by metrics and records.
-type paceWatch struct {
+// paceMonitor tells operators of paces by metrics and records.
+type paceMonitor struct {
 	logger  logrus.FieldLogger
 	reports *prometheus.CounterVec
 	// The fields below are used by whoever builds a snapshot alone.
@@ -45,7 +45,7 @@
 
 // export lets the paces be told by metrics and records.
 func (p *paces) export(logger logrus.FieldLogger, registerer prometheus.Registerer) {
-	w := &paceWatch{
+	w := &paceMonitor{
 		logger: logger,
 		reports: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "bluebell_gate_load_reports_total",
@@ -54,20 +54,20 @@
 		recorded: make(map[uint32]recordedPace),
 	}
 	registerer.MustRegister(w.reports, &paceCollector{paces: p})
-	p.watcher.Store(w)
+	p.monitor.Store(w)
 }
 
 // count counts a report of load.
-func (w *paceWatch) count(result string) {
+func (w *paceMonitor) count(result string) {
 	if w != nil {
 		w.reports.WithLabelValues(result).Inc()
 	}
 }
 
-// changed writes a record of one backend server whose pace has changed, if one is due.
+// logChange writes a record of one backend server whose pace has changed, if one is due.
 // The others' turns come later.
-func (w *paceWatch) changed(built *builtPaces) {
-	if w == nil || built.at.Sub(w.recordedAt) < paceRecords {
+func (w *paceMonitor) logChange(built *paceSnapshot) {
+	if w == nil || built.builtAt.Sub(w.recordedAt) < paceLogInterval {
 		return
 	}
 	for server := range w.recorded {
@@ -95,17 +95,17 @@
 		w.recorded[server] = recordedPace{usual: engine.Usual, contradicted: engine.Contradicted}
 	})
 	if written {
-		w.recordedAt = built.at
+		w.recordedAt = built.builtAt
 	}
 }
 
 // differs tells whether the estimate is worth a record after the one before.
 func (r recordedPace) differs(engine pace.Estimate) bool {
 	change := engine.Usual / r.usual
-	return change >= 1+paceChange || change <= 1-paceChange || (engine.Contradicted && !r.contradicted)
+	return change >= 1+minLoggedChange || change <= 1-minLoggedChange || (engine.Contradicted && !r.contradicted)
 }
 
-func (w *paceWatch) write(backend string, before recordedPace, engine pace.Estimate) {
+func (w *paceMonitor) write(backend string, before recordedPace, engine pace.Estimate) {
 	fields := logrus.Fields{
 		"backend":      backend,
 		"told":         engine.Reported,
@@ -155,7 +155,7 @@
 }
 
 // workTimes returns the usual work times of the listed servers that tell one.
-func (b *builtPaces) workTimes() map[fleet.Service][]float64 {
+func (b *paceSnapshot) workTimes() map[fleet.Service][]float64 {
 	usual := make(map[fleet.Service][]float64)
 	b.snapshot.Each(func(server uint32, engine pace.Estimate) {
 		if backend := b.listed[server]; backend != nil {
--- a/internal/gate/paces.go
+++ b/internal/gate/paces.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	// paceInterval is the pause between two snapshots of paces. Merging all routers'
+	// snapshotInterval is the pause between two snapshots of paces. Merging all routers'
 	// figures for each request would cost more than the decision.
-	paceInterval = 100 * time.Millisecond
-	// paceStale is the age from which requests wait for a new snapshot, as after a pause
+	snapshotInterval = 100 * time.Millisecond
+	// maxSnapshotAge is the age from which requests wait for a new snapshot, as after a pause
 	// of the process, instead of going by the last one while the next one is built. It is
 	// no longer than a reported work time stands for the current one.
-	paceStale = 400 * time.Millisecond
-	// serviceSeconds is the reading that must have been seen of a service before its
+	maxSnapshotAge = 400 * time.Millisecond
+	// minReadingSeconds is the reading that must have been seen of a service before its
 	// rate is compared with single engines'.
-	serviceSeconds = 3
+	minReadingSeconds = 3
 )
 
 // paces is what is known of how fast each backend server works. Its methods may be
@@ -34,27 +34,27 @@
 	table    *pace.Table
 
 	building sync.Mutex // is held by whoever builds a snapshot
-	built    atomic.Pointer[builtPaces]
-	watcher  atomic.Pointer[paceWatch] // nil until it is set
+	built    atomic.Pointer[paceSnapshot]
+	monitor  atomic.Pointer[paceMonitor] // nil until it is set
 
 	mu     sync.Mutex
 	listed map[uint32]*knowledge.Backend // by the hashes of their incarnations
 }
 
-// builtPaces is a snapshot and what follows from it.
-type builtPaces struct {
+// paceSnapshot is a snapshot and what follows from it.
+type paceSnapshot struct {
 	snapshot *pace.Snapshot
-	at       boottime.Instant
-	services map[fleet.Service]serviceTold
+	builtAt  boottime.Instant
+	services map[fleet.Service]reportCounts
 	listed   map[uint32]*knowledge.Backend
 }
 
-// serviceTold counts the servers of a service that tell a work time.
-type serviceTold struct{ servers, contradicted int }
+// reportCounts counts the servers of a service that tell a work time.
+type reportCounts struct{ servers, contradicted int }
 
-// doubtful tells that most servers contradict the rate of the service: that is wrong
+// rateDoubtful tells that most servers contradict the rate of the service: that is wrong
 // rather than all of them.
-func (s serviceTold) doubtful() bool { return 2*s.contradicted > s.servers }
+func (s reportCounts) rateDoubtful() bool { return 2*s.contradicted > s.servers }
 
 func newPaces(settings *currentSettings, loads *loads, peers Peers) *paces {
 	return &paces{
@@ -74,7 +74,7 @@
 	if !p.enabled() {
 		return
 	}
-	watcher := p.watcher.Load()
+	watcher := p.monitor.Load()
 	if reply.MalformedLoad {
 		watcher.count(reportMalformed)
 		return
@@ -82,18 +82,18 @@
 	if reply.Load.WorkTime == 0 {
 		return
 	}
-	p.list(backend)
+	p.addBackend(backend)
 	p.table.RecordReport(backend.IncarnationHash, reply.Load, now)
-	if p.engine(backend.IncarnationHash).Contradicted {
+	if p.estimate(backend.IncarnationHash).Contradicted {
 		watcher.count(reportContradicted)
 		return
 	}
 	watcher.count(reportTaken)
 }
 
-// read notes that an engine took the time to read the prompt tokens that were waiting,
+// recordReading notes that an engine took the time to read the prompt tokens that were waiting,
 // and returns the time that an engine at work time 1 would have taken.
-func (p *paces) read(backend *knowledge.Backend, pending float64, took time.Duration) time.Duration {
+func (p *paces) recordReading(backend *knowledge.Backend, pending float64, took time.Duration) time.Duration {
 	if !p.enabled() {
 		return took
 	}
@@ -104,15 +104,15 @@
 		return took
 	}
 	workTime := engine.Usual
-	if engine.Contradicted && built.services[backend.Service].doubtful() {
+	if engine.Contradicted && built.services[backend.Service].rateDoubtful() {
 		// By what is seen of them, these engines would confirm a wrong rate for ever.
 		workTime = engine.Reported
 	}
 	return time.Duration(float64(took) / workTime)
 }
 
-// streamed notes the end of a whole stream, and whether it was late.
-func (p *paces) streamed(backend *knowledge.Backend, late bool) {
+// recordStreamEnd notes the end of a whole stream, and whether it was late.
+func (p *paces) recordStreamEnd(backend *knowledge.Backend, late bool) {
 	if p.enabled() {
 		p.table.RecordStreamEnd(backend.IncarnationHash, late, boottime.Now())
 	}
@@ -126,36 +126,36 @@
 	return p.table.Own(now)
 }
 
-// engine returns what is expected of a backend server by the hash of its incarnation.
+// estimate returns what is expected of a backend server by the hash of its incarnation.
 // Who looks at many at once takes one snapshot for all of them.
-func (p *paces) engine(hash uint32) pace.Estimate { return p.snapshot().Engine(hash) }
+func (p *paces) estimate(hash uint32) pace.Estimate { return p.snapshot().Engine(hash) }
 
 // snapshot returns what is expected of all backend servers. It is empty while paces are
 // switched off.
 func (p *paces) snapshot() *pace.Snapshot { return p.current().snapshot }
 
-// told tells whether any listed server of the service tells a work time. Where none
+// hasReports tells whether any listed server of the service tells a work time. Where none
 // does, nothing may depend on paces.
-func (p *paces) told(service fleet.Service) bool {
+func (p *paces) hasReports(service fleet.Service) bool {
 	return p.enabled() && p.current().services[service].servers > 0
 }
 
 // noPaces are those of a gate in which they are switched off.
-var noPaces = &builtPaces{snapshot: &pace.Snapshot{}}
+var noPaces = &paceSnapshot{snapshot: &pace.Snapshot{}}
 
 // current returns the snapshot of the moment. One that is due is built in the background,
 // as merging what the routers of a large fleet report takes milliseconds; requests wait
 // for it only while the last one is too old to go by.
-func (p *paces) current() *builtPaces {
+func (p *paces) current() *paceSnapshot {
 	if !p.enabled() {
 		return noPaces
 	}
 	now := boottime.Now()
 	built := p.built.Load()
-	if built.fresh(now, paceInterval) {
+	if built.youngerThan(now, snapshotInterval) {
 		return built
 	}
-	if built.fresh(now, paceStale) {
+	if built.youngerThan(now, maxSnapshotAge) {
 		if p.building.TryLock() {
 			go func() {
 				defer p.building.Unlock()
@@ -171,23 +171,23 @@
 
 // refresh returns the snapshot of the moment and builds it if no one else has meanwhile.
 // Its caller holds the lock for building.
-func (p *paces) refresh(now boottime.Instant) *builtPaces {
+func (p *paces) refresh(now boottime.Instant) *paceSnapshot {
 	built := p.built.Load()
-	if built.fresh(now, paceInterval) {
+	if built.youngerThan(now, snapshotInterval) {
 		return built
 	}
 	built = p.build(now)
 	p.built.Store(built)
-	p.watcher.Load().changed(built)
+	p.monitor.Load().logChange(built)
 	return built
 }
 
-// fresh tells whether the snapshot is younger than the age.
-func (b *builtPaces) fresh(now boottime.Instant, age time.Duration) bool {
-	return b != nil && now.Sub(b.at) < age
+// youngerThan tells whether the snapshot is younger than the age.
+func (b *paceSnapshot) youngerThan(now boottime.Instant, age time.Duration) bool {
+	return b != nil && now.Sub(b.builtAt) < age
 }
 
-func (p *paces) build(now boottime.Instant) *builtPaces {
+func (p *paces) build(now boottime.Instant) *paceSnapshot {
 	p.mu.Lock()
 	listed := p.listed
 	p.mu.Unlock()
@@ -204,10 +204,10 @@
 		}
 		return rate
 	}
-	built := &builtPaces{
+	built := &paceSnapshot{
 		snapshot: pace.NewSnapshot(p.table.Own(now), p.peers.Paces(now), serviceRate, now),
-		at:       now,
-		services: make(map[fleet.Service]serviceTold),
+		builtAt:  now,
+		services: make(map[fleet.Service]reportCounts),
 		listed:   listed,
 	}
 	built.snapshot.Each(func(server uint32, engine pace.Estimate) {
@@ -215,12 +215,12 @@
 		if backend == nil {
 			return
 		}
-		told := built.services[backend.Service]
-		told.servers++
+		counts := built.services[backend.Service]
+		counts.servers++
 		if engine.Contradicted {
-			told.contradicted++
+			counts.contradicted++
 		}
-		built.services[backend.Service] = told
+		built.services[backend.Service] = counts
 	})
 	return built
 }
@@ -229,14 +229,14 @@
 // 0 while too little was seen.
 func (p *paces) serviceRate(service fleet.Service) float64 {
 	rate, seconds := p.loads.observedRate(service)
-	if seconds < serviceSeconds {
+	if seconds < minReadingSeconds {
 		return 0
 	}
 	return rate
 }
 
-// list makes a backend server known that has answered before the list was taken.
-func (p *paces) list(backend *knowledge.Backend) {
+// addBackend makes a backend server known that has answered before the list was taken.
+func (p *paces) addBackend(backend *knowledge.Backend) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.listed[backend.IncarnationHash] != nil {
--- a/internal/gate/paces_test.go
+++ b/internal/gate/paces_test.go
@@ -49,39 +49,39 @@
 	return f
 }
 
-// tell lets a backend server tell its work time with an answer.
-func (f *pacedFleet) tell(backend *knowledge.Backend, workTime float64) {
+// report lets a backend server tell its work time with an answer.
+func (f *pacedFleet) report(backend *knowledge.Backend, workTime float64) {
 	f.paces.recordReport(backend, Reply{Load: pace.Report{Slots: 48, WorkTime: workTime}}, boottime.Now())
-	f.due()
+	f.expireSnapshot()
 }
 
-// due lets the next look build a snapshot, after one that is being built.
-func (f *pacedFleet) due() {
+// expireSnapshot lets the next look build a snapshot, after one that is being built.
+func (f *pacedFleet) expireSnapshot() {
 	f.paces.building.Lock()
 	defer f.paces.building.Unlock()
 	f.paces.built.Store(nil)
 }
 
-// begins lets a request begin at an engine after the time.
-func (f *pacedFleet) begins(backend *knowledge.Backend, tokens float64, took time.Duration) {
+// firstEvent lets a request begin at an engine after the time.
+func (f *pacedFleet) firstEvent(backend *knowledge.Backend, tokens float64, took time.Duration) {
 	request := &Request{Service: backend.Service}
 	placed := &placement{backend: backend, load: BackendLoad{Running: 1, Pending: tokens}, pending: tokens, model: true}
 	f.recordFirstEvent(request, placed, took)
-	f.due()
+	f.expireSnapshot()
 }
 
 // Guards against deployments that behave differently although paces are switched off.
 func TestPacesSwitchedOffAreInert(t *testing.T) {
 	f := newPacedFleet(t, false)
 	f.peers.paces = map[uint32]pace.Observation{f.slow.IncarnationHash: {Usual: 3}}
-	f.tell(f.fast, 0.5)
-	f.begins(f.fast, 10_000, time.Second)
+	f.report(f.fast, 0.5)
+	f.firstEvent(f.fast, 10_000, time.Second)
 	f.recordStreamEnd("s", &placement{backend: f.fast}, true)
-	if f.paces.enabled() || f.paces.told("s") || f.paces.own(boottime.Now()) != nil || f.enginePaces() != nil {
+	if f.paces.enabled() || f.paces.hasReports("s") || f.paces.own(boottime.Now()) != nil || f.enginePaces() != nil {
 		t.Error("something is told of paces")
 	}
 	for _, backend := range []*knowledge.Backend{f.fast, f.slow} {
-		if got := f.paces.engine(backend.IncarnationHash); got.HasReport || got.Usual != 1 || got.Now != 1 {
+		if got := f.paces.estimate(backend.IncarnationHash); got.HasReport || got.Usual != 1 || got.Now != 1 {
 			t.Errorf("%+v is expected of %s", got, backend.ID)
 		}
 	}
@@ -92,15 +92,15 @@
 
 // Guards against services whose servers tell no work time and that are treated
 // differently as soon as the switch is on.
-func TestServiceThatTellsNothingIsUnchanged(t *testing.T) {
+func TestServiceWithoutReportsIsUnchanged(t *testing.T) {
 	f := newPacedFleet(t, true)
 	f.paces.recordReport(f.fast, Reply{Load: pace.Report{Running: 3, Slots: 48}}, boottime.Now())
-	f.tell(f.another, 2)
-	f.begins(f.fast, 10_000, time.Second)
-	if f.paces.told("s") || !f.paces.told("plain") {
-		t.Errorf("told: %t for engines without work times, %t for servers with them", f.paces.told("s"), f.paces.told("plain"))
+	f.report(f.another, 2)
+	f.firstEvent(f.fast, 10_000, time.Second)
+	if f.paces.hasReports("s") || !f.paces.hasReports("plain") {
+		t.Errorf("told: %t for engines without work times, %t for servers with them", f.paces.hasReports("s"), f.paces.hasReports("plain"))
 	}
-	if got := f.paces.engine(f.fast.IncarnationHash); got.HasReport || got.Usual != 1 {
+	if got := f.paces.estimate(f.fast.IncarnationHash); got.HasReport || got.Usual != 1 {
 		t.Errorf("%+v", got)
 	}
 	if rate, seconds := f.loads.observedRate("s"); rate != 10_000 || seconds != 1 {
@@ -111,16 +111,16 @@
 // Guards against a service's rate that depends on which of its engines get the requests.
 func TestRateOfAServiceIsThatAtWorkTimeOne(t *testing.T) {
 	f := newPacedFleet(t, true)
-	f.tell(f.fast, 0.5)
-	f.tell(f.slow, 2)
+	f.report(f.fast, 0.5)
+	f.report(f.slow, 2)
 	for range 20 {
-		f.begins(f.fast, 10_000, time.Second/2)
-		f.begins(f.slow, 10_000, 2*time.Second)
+		f.firstEvent(f.fast, 10_000, time.Second/2)
+		f.firstEvent(f.slow, 10_000, 2*time.Second)
 	}
 	if rate, _ := f.loads.observedRate("s"); math.Abs(rate-10_000) > 1 {
 		t.Errorf("%v tokens a second, want 10,000", rate)
 	}
-	fast, slow := f.paces.engine(f.fast.IncarnationHash), f.paces.engine(f.slow.IncarnationHash)
+	fast, slow := f.paces.estimate(f.fast.IncarnationHash), f.paces.estimate(f.slow.IncarnationHash)
 	if math.Abs(fast.Rate-20_000) > 200 || math.Abs(slow.Rate-5000) > 50 {
 		t.Errorf("engines read %v and %v tokens a second, want 20,000 and 5,000", fast.Rate, slow.Rate)
 	}
@@ -128,18 +128,18 @@
 
 // Guards against a rate learned before the paces were known that contradicts all engines
 // for good, since what they do would be taken for work time 1.
-func TestWrongRateOfAServiceIsLearnedAnew(t *testing.T) {
+func TestWrongRateOfAServiceIsRelearned(t *testing.T) {
 	f := newPacedFleet(t, true)
 	for range 100 {
-		f.begins(f.fast, 10_000, 5*time.Second)
+		f.firstEvent(f.fast, 10_000, 5*time.Second)
 	}
-	f.tell(f.fast, 5)
-	f.tell(f.slow, 5)
+	f.report(f.fast, 5)
+	f.report(f.slow, 5)
 	for range 600 {
-		f.begins(f.fast, 10_000, 5*time.Second)
-		f.begins(f.slow, 10_000, 5*time.Second)
+		f.firstEvent(f.fast, 10_000, 5*time.Second)
+		f.firstEvent(f.slow, 10_000, 5*time.Second)
 	}
-	if got := f.paces.engine(f.fast.IncarnationHash); got.Contradicted || got.Usual != 5 {
+	if got := f.paces.estimate(f.fast.IncarnationHash); got.Contradicted || got.Usual != 5 {
 		t.Errorf("%+v", got)
 	}
 }
@@ -147,20 +147,20 @@
 // Guards against one engine with a wrong report that spoils the rate of all.
 func TestContradictedEngineDoesNotSpoilTheServicesRate(t *testing.T) {
 	f := newPacedFleet(t, true)
-	f.tell(f.slow, 1)
+	f.report(f.slow, 1)
 	for range 100 {
-		f.begins(f.slow, 10_000, time.Second)
+		f.firstEvent(f.slow, 10_000, time.Second)
 	}
-	f.tell(f.fast, 0.05)
+	f.report(f.fast, 0.05)
 	f.peers.paces = map[uint32]pace.Observation{f.fast.IncarnationHash: {Usual: 0.05, ReadTokens: 100_000, ReadSeconds: 10}}
-	f.due()
+	f.expireSnapshot()
 	for range 100 {
-		f.begins(f.fast, 10_000, time.Second)
+		f.firstEvent(f.fast, 10_000, time.Second)
 	}
 	if rate, _ := f.loads.observedRate("s"); math.Abs(rate-10_000) > 500 {
 		t.Errorf("%v tokens a second, want some 10,000", rate)
 	}
-	if got := f.paces.engine(f.fast.IncarnationHash); !got.Contradicted || math.Abs(got.Usual-1) > 0.1 {
+	if got := f.paces.estimate(f.fast.IncarnationHash); !got.Contradicted || math.Abs(got.Usual-1) > 0.1 {
 		t.Errorf("%+v", got)
 	}
 }
@@ -168,42 +168,42 @@
 // slowPeers is a fleet that takes long to tell of paces.
 type slowPeers struct {
 	noPeers
-	asked, told chan struct{}
+	called, proceed chan struct{}
 }
 
 func (p *slowPeers) Paces(boottime.Instant) map[uint32]pace.Observation {
-	p.asked <- struct{}{}
-	<-p.told
+	p.called <- struct{}{}
+	<-p.proceed
 	return nil
 }
 
 // Guards against requests that wait while a snapshot is built, which takes milliseconds
 // in large fleets, and against two builds at once.
 func TestRequestsDoNotWaitForASnapshot(t *testing.T) {
-	peers := &slowPeers{asked: make(chan struct{}, 2), told: make(chan struct{})}
+	peers := &slowPeers{called: make(chan struct{}, 2), proceed: make(chan struct{})}
 	p := newPaces(newCurrentSettings(Settings{Engines: EngineSettings{Pace: true}}), newLoads(), peers)
-	last := &builtPaces{snapshot: &pace.Snapshot{}, at: boottime.Now().Add(-paceInterval)}
+	last := &paceSnapshot{snapshot: &pace.Snapshot{}, builtAt: boottime.Now().Add(-snapshotInterval)}
 	p.built.Store(last)
-	looked := make(chan *builtPaces)
+	looked := make(chan *paceSnapshot)
 	for range 2 {
 		go func() { looked <- p.current() }()
 	}
 	for range 2 {
 		select {
 		case built := <-looked:
-			if built != last && last.fresh(boottime.Now(), paceStale) {
+			if built != last && last.youngerThan(boottime.Now(), maxSnapshotAge) {
 				t.Error("a request did not go by the last snapshot")
 			}
 		case <-time.After(2 * time.Second):
 			t.Fatal("a request waits for the snapshot")
 		}
 	}
-	<-peers.asked
-	close(peers.told)
+	<-peers.called
+	close(peers.proceed)
 	p.building.Lock()
 	defer p.building.Unlock()
-	if p.built.Load() == last || len(peers.asked) != 0 {
-		t.Errorf("no snapshot was built, or %d more than one", len(peers.asked))
+	if p.built.Load() == last || len(peers.called) != 0 {
+		t.Errorf("no snapshot was built, or %d more than one", len(peers.called))
 	}
 }
 
@@ -211,8 +211,8 @@
 func TestRequestsWaitWhileTheSnapshotIsOld(t *testing.T) {
 	f := newPacedFleet(t, true)
 	f.peers.paces = map[uint32]pace.Observation{f.slow.IncarnationHash: {Usual: 3}}
-	f.paces.built.Store(&builtPaces{snapshot: &pace.Snapshot{}, at: boottime.Now().Add(-paceStale)})
-	if got := f.paces.engine(f.slow.IncarnationHash); got.Usual != 3 {
+	f.paces.built.Store(&paceSnapshot{snapshot: &pace.Snapshot{}, builtAt: boottime.Now().Add(-maxSnapshotAge)})
+	if got := f.paces.estimate(f.slow.IncarnationHash); got.Usual != 3 {
 		t.Errorf("%+v", got)
 	}
 }
@@ -221,7 +221,7 @@
 func TestOtherRoutersPacesCount(t *testing.T) {
 	f := newPacedFleet(t, true)
 	f.peers.paces = map[uint32]pace.Observation{f.slow.IncarnationHash: {Usual: 3}}
-	if got := f.paces.engine(f.slow.IncarnationHash); !got.HasReport || got.Usual != 3 || !f.paces.told("s") {
+	if got := f.paces.estimate(f.slow.IncarnationHash); !got.HasReport || got.Usual != 3 || !f.paces.hasReports("s") {
 		t.Errorf("%+v", got)
 	}
 	if got := f.paces.own(boottime.Now()); got != nil {
@@ -234,12 +234,12 @@
 }
 
 // Guards against tables that grow with each server that is replaced.
-func TestPacesOfServersThatAreNotListedAreForgotten(t *testing.T) {
+func TestPacesOfUnlistedServersAreRemoved(t *testing.T) {
 	f := newPacedFleet(t, true)
-	f.tell(f.fast, 0.5)
+	f.report(f.fast, 0.5)
 	f.paces.setBackends(map[string]*knowledge.Backend{"slow": f.slow})
-	f.due()
-	if got := f.paces.engine(f.fast.IncarnationHash); got.HasReport || f.paces.told("s") || f.paces.own(boottime.Now()) != nil {
+	f.expireSnapshot()
+	if got := f.paces.estimate(f.fast.IncarnationHash); got.HasReport || f.paces.hasReports("s") || f.paces.own(boottime.Now()) != nil {
 		t.Errorf("%+v is kept", got)
 	}
 }
@@ -254,17 +254,17 @@
 	h := &handler{admission: f.admission, requestLog: newRequestLog(logger, knowledge.NewState(), nil)}
 	report := pace.Report{Slots: 48, WorkTime: 0.5}
 	h.observeReply(f.fast, Reply{Load: report, Replaced: true})
-	if f.paces.told("s") {
+	if f.paces.hasReports("s") {
 		t.Error("a report of another server was taken")
 	}
-	f.due()
+	f.expireSnapshot()
 	h.observeReply(f.fast, Reply{MalformedLoad: true})
 	h.observeReply(f.fast, Reply{Load: report})
 	h.observeReply(f.fast, Reply{Load: pace.Report{Slots: 48}})
-	f.due()
+	f.expireSnapshot()
 	f.peers.paces = map[uint32]pace.Observation{f.fast.IncarnationHash: {Usual: 0.5, ReadTokens: 50_000, ReadSeconds: 10}}
 	for range 10 {
-		f.loads.read("s", 20_000, time.Second)
+		f.loads.recordReading("s", 20_000, time.Second)
 	}
 	h.observeReply(f.fast, Reply{Load: report})
 	families, err := registry.Gather()
@@ -289,23 +289,23 @@
 }
 
 // Guards against floods of records while a whole service turns slow.
-func TestChangedPacesAreRecordedOnceASecond(t *testing.T) {
+func TestChangedPacesAreLoggedOnceASecond(t *testing.T) {
 	logger, hook := logrustest.NewNullLogger()
 	f := newPacedFleet(t, true)
-	watcher := &paceWatch{logger: logger, recorded: make(map[uint32]recordedPace)}
+	watcher := &paceMonitor{logger: logger, recorded: make(map[uint32]recordedPace)}
 	look := func(now boottime.Instant, usual float64) {
 		own := map[uint32]pace.Observation{f.fast.IncarnationHash: {Usual: usual}, f.slow.IncarnationHash: {Usual: usual}}
 		snapshot := pace.NewSnapshot(own, nil, func(uint32) float64 { return 0 }, now)
-		watcher.changed(&builtPaces{snapshot: snapshot, at: now, listed: f.paces.listed})
+		watcher.logChange(&paceSnapshot{snapshot: snapshot, builtAt: now, listed: f.paces.listed})
 	}
 	now := boottime.Now()
 	look(now, 1)
-	look(now.Add(paceInterval), 1.2)
+	look(now.Add(snapshotInterval), 1.2)
 	if count := len(hook.AllEntries()); count != 0 {
 		t.Fatalf("%d records of no change", count)
 	}
 	for i := range 21 {
-		look(now.Add(time.Second+time.Duration(i)*paceInterval), 1.3)
+		look(now.Add(time.Second+time.Duration(i)*snapshotInterval), 1.3)
 	}
 	entries := hook.AllEntries()
 	if len(entries) != 2 || entries[0].Data["backend"] == entries[1].Data["backend"] {
@@ -326,9 +326,9 @@
 	for i := range 8 {
 		group.Go(func() {
 			for range 200 {
-				f.tell(f.fast, 0.5+float64(i))
-				f.begins(f.fast, 10_000, time.Second)
-				f.paces.streamed(f.fast, i%2 == 0)
+				f.report(f.fast, 0.5+float64(i))
+				f.firstEvent(f.fast, 10_000, time.Second)
+				f.paces.recordStreamEnd(f.fast, i%2 == 0)
 				f.paces.own(boottime.Now())
 				f.enginePaces()
 				f.paces.setBackends(map[string]*knowledge.Backend{"fast": f.fast, "slow": f.slow})
@@ -336,7 +336,7 @@
 		})
 	}
 	group.Wait()
-	if got := f.paces.engine(f.fast.IncarnationHash); got.Reported != 0.5 {
+	if got := f.paces.estimate(f.fast.IncarnationHash); got.Reported != 0.5 {
 		t.Errorf("%+v", got)
 	}
 }
@@ -352,7 +352,7 @@
 	}
 	b.Run("look", func(b *testing.B) {
 		for b.Loop() {
-			p.engine(2654435761)
+			p.estimate(2654435761)
 		}
 	})
 	b.Run("build", func(b *testing.B) {
--- a/internal/gate/place_bench_test.go
+++ b/internal/gate/place_bench_test.go
@@ -95,7 +95,7 @@
 				a, view, request := benchAdmissionInZones(size.backends, size.routers, size.accounts, load, []fleet.Zone{"z", "y", "x"})
 				reportWorkTimes(a, view)
 				if name == "shunned" {
-					a.loads.shunned[view.Backends["i-1"].Incarnation] = boottime.Now().Add(time.Hour)
+					a.loads.ejected[view.Backends["i-1"].Incarnation] = boottime.Now().Add(time.Hour)
 				}
 				b.ReportAllocs()
 				for b.Loop() {
--- a/internal/gate/place_model.go
+++ b/internal/gate/place_model.go
@@ -12,24 +12,24 @@
 
 // modelSearch is the search for an engine for one request.
 type modelSearch struct {
-	request    *Request
-	view       *knowledge.View
-	tier       policy.Tier
-	facts      policy.ModelRequest
-	bounds     policy.Bounds
-	protection policy.Protection
-	demand     selection.Demand
-	limits     selection.Limits
-	ranking    ranking
-	part       string             // last shared part of the prompt, "" for none
-	keeper     *knowledge.Backend // known to keep the shared parts, nil for none
+	request     *Request
+	view        *knowledge.View
+	tier        policy.Tier
+	facts       policy.ModelRequest
+	bounds      policy.Bounds
+	protection  policy.Protection
+	demand      selection.Demand
+	limits      selection.Limits
+	ranking     ranking
+	segment     string             // last shared part of the prompt, "" for none
+	cacheHolder *knowledge.Backend // known to keep the shared parts, nil for none
 }
 
 // placeModel chooses an engine for a request for a model and counts the request
 // in there, or refuses it. again tells that an engine has declined it before.
-func (a *admission) placeModel(request *Request, view *knowledge.View, usable []*knowledge.Backend, again bool) (*placement, *Refusal) {
+func (a *admission) placeModel(request *Request, view *knowledge.View, usable []*knowledge.Backend, declinedBefore bool) (*placement, *Refusal) {
 	now := boottime.Now()
-	facts := a.facts(request, view, again, now)
+	facts := a.facts(request, view, declinedBefore, now)
 	tier := a.policy().Tier(facts, rand.Float64())
 	if !a.policy().TierOpen(tier, facts.Usage) {
 		return nil, a.refuseModel(request, tier, Inputs{Tier: tier, ShareUsed: facts.Usage.ShareUsed})
@@ -41,7 +41,7 @@
 	case !choice.Fits:
 		return nil, a.refuseModel(request, tier, inputs)
 	case !search.protection.Allows(choice):
-		return nil, a.refuseInTurn(request, ReasonDisruptive, inputs)
+		return nil, a.refuseForCapacity(request, ReasonDisruptive, inputs)
 	}
 	placed := &placement{
 		backend: backend,
@@ -56,9 +56,9 @@
 		inputs:  inputs,
 	}
 	if a.canFetch(view, request.Service) {
-		placed.fetchSource = a.holder(search, placed.backend, now)
+		placed.fetchSource = a.fetchSource(search, placed.backend, now)
 	}
-	a.enter(request, placed, now)
+	a.admit(request, placed, now)
 	return placed, nil
 }
 
@@ -73,10 +73,10 @@
 		bounds:  bounds,
 		demand:  a.demand(request, bounds),
 		limits:  a.limits(view, request.Service, bounds),
-		part:    request.Prompt.SharedSegment(),
+		segment: request.Prompt.SharedSegment(),
 	}
-	search.keeper = a.keeper(search.part, view, now)
-	if !a.paces.told(request.Service) {
+	search.cacheHolder = a.cacheHolder(search.segment, view, now)
+	if !a.paces.hasReports(request.Service) {
 		return search
 	}
 	search.protection = a.policy().Protection(tier, view.Index.MinTargetGap(request.Service))
@@ -95,16 +95,16 @@
 // be one, and what it finds there. One of the router's own availability zone comes first
 // for some requests, where it has as much room as any other.
 func (a *admission) choose(search *modelSearch, usable []*knowledge.Backend, now boottime.Instant) (*knowledge.Backend, selection.Choice) {
-	hot := a.hot(search.part, now) // counts the request, wherever it is placed
+	frequent := a.recordDemand(search.segment, now) // counts the request, wherever it is placed
 	// While some engines get no requests, the list is built for each one.
-	drawn := !sameList(usable, search.serving())
-	backend, choice := a.chooseAmong(search, usable, drawn, search.protection.MaxEngines(search.bounds))
+	filtered := !sameList(usable, search.serving())
+	backend, choice := a.chooseAmong(search, usable, filtered, search.protection.MaxEngines(search.bounds))
 	if backend.Zone == a.zone && choice.FitsUndisrupted() {
 		return backend, choice
 	}
-	if near := a.near(search, usable, drawn, hot); len(near) > 0 {
-		if closer, found := a.chooseAmong(search, near, drawn, selection.PreferredEngines); preferNear(found, choice, search.request.Route.TargetLatency) {
-			return closer, found
+	if ownZone := a.ownZoneEngines(search, usable, filtered, frequent); len(ownZone) > 0 {
+		if ownZoneBackend, ownZoneChoice := a.chooseAmong(search, ownZone, filtered, selection.PreferredEngines); preferOwnZone(ownZoneChoice, choice, search.request.Route.TargetLatency) {
+			return ownZoneBackend, ownZoneChoice
 		}
 	}
 	return backend, choice
@@ -112,12 +112,12 @@
 
 // chooseAmong chooses among the first engines of a list that is kept, or drawn from those
 // that serve.
-func (a *admission) chooseAmong(search *modelSearch, usable []*knowledge.Backend, drawn bool, most int) (*knowledge.Backend, selection.Choice) {
+func (a *admission) chooseAmong(search *modelSearch, usable []*knowledge.Backend, filtered bool, limit int) (*knowledge.Backend, selection.Choice) {
 	var ranked []int
-	if drawn {
-		ranked = search.ranking.rankDrawn(usable, search.serving(), search.part, most)
+	if filtered {
+		ranked = search.ranking.rankFiltered(usable, search.serving(), search.segment, limit)
 	} else {
-		ranked = search.ranking.rank(usable, search.part, most)
+		ranked = search.ranking.rank(usable, search.segment, limit)
 	}
 	engine := a.engines(search, usable, ranked)
 	choice := selection.ChooseEngine(len(ranked), engine, search.demand, search.limits)
@@ -144,20 +144,20 @@
 }
 
 // facts returns what the tier and the bounds of a request rest on.
-func (a *admission) facts(request *Request, view *knowledge.View, again bool, now boottime.Instant) policy.ModelRequest {
+func (a *admission) facts(request *Request, view *knowledge.View, declinedBefore bool, now boottime.Instant) policy.ModelRequest {
 	return policy.ModelRequest{
 		Usage:          a.standing(request, view.Index.Configuration.Limits.TokensPerSecond, now),
 		Target:         request.Route.TargetLatency,
 		ShortestTarget: view.Index.MinTargetLatency(request.Service),
 		Rank:           view.Index.Rank(request.Service, request.Route, request.Account),
 		Headroom:       a.loads.headroom(request.Service, a.leastHeadroom(request.Service)),
-		DeclinedBefore: again,
+		DeclinedBefore: declinedBefore,
 	}
 }
 
 // leastHeadroom returns how far late answers lower the budgets of a service at most.
 func (a *admission) leastHeadroom(service fleet.Service) float64 {
-	if a.paces.told(service) {
+	if a.paces.hasReports(service) {
 		return a.policy().HeadroomFloor()
 	}
 	return a.policy().LeastHeadroom
@@ -184,19 +184,19 @@
 	if tier == policy.TierIdle {
 		reason = ReasonOverShare
 	}
-	return a.refuseInTurn(request, reason, inputs)
+	return a.refuseForCapacity(request, reason, inputs)
 }
 
-// refuseInTurn refuses a request for want of room.
-func (a *admission) refuseInTurn(request *Request, reason Reason, inputs Inputs) *Refusal {
+// refuseForCapacity refuses a request for want of room.
+func (a *admission) refuseForCapacity(request *Request, reason Reason, inputs Inputs) *Refusal {
 	refusal := a.refuse(request, reason)
 	refusal.RetryAfter = a.policy().RetryAfterByUsage(request.Route.TargetLatency, inputs.ShareUsed, rand.Float64())
 	refusal.Inputs = inputs
 	return refusal
 }
 
-// enter counts a placed request in.
-func (a *admission) enter(request *Request, placed *placement, now boottime.Instant) {
+// admit counts a placed request in.
+func (a *admission) admit(request *Request, placed *placement, now boottime.Instant) {
 	a.loads.begin(placed.backend.Incarnation, placed.load)
 	if request.Account == nil {
 		return
@@ -243,7 +243,7 @@
 			Pending:        load.Pending,
 			Memory:         load.Memory,
 			MemoryCapacity: capacity,
-			CachesShared:   backend == search.keeper,
+			CachesShared:   backend == search.cacheHolder,
 		}
 		if search.ranking.weighted {
 			estimate := search.ranking.snapshot.Engine(backend.IncarnationHash)
@@ -256,14 +256,14 @@
 	}
 }
 
-func idHash(backend *knowledge.Backend) uint64 { return backend.IDHash }
+func backendIDHash(backend *knowledge.Backend) uint64 { return backend.IDHash }
 
-// assumedRate is the prompt tokens that an engine reads in a second before
+// defaultReadRate is the prompt tokens that an engine reads in a second before
 // anything is known of it, when no capacity is stated either.
-const assumedRate = 20_000
+const defaultReadRate = 20_000
 
 func (a *admission) limits(view *knowledge.View, service fleet.Service, bounds policy.Bounds) selection.Limits {
-	assumed := float64(assumedRate)
+	assumed := float64(defaultReadRate)
 	stated := view.Index.Configuration.Limits.TokensPerSecond
 	if count := len(view.ByService[service]); stated > 0 && count > 0 {
 		assumed = stated / float64(count)
--- a/internal/gate/plain.go
+++ b/internal/gate/plain.go
@@ -21,9 +21,9 @@
 
 // plainState is what a router has learned of one plain server.
 type plainState struct {
-	load     policy.PlainLoad
-	work     policy.ServiceTime
-	lastUsed boottime.Instant
+	load        policy.PlainLoad
+	serviceTime policy.ServiceTime
+	lastUsed    boottime.Instant
 }
 
 // plainServers is the table of plain servers by their incarnations. Its methods may
@@ -39,8 +39,8 @@
 	return &plainServers{states: make(map[string]*plainState), observeWait: func(fleet.Service, time.Duration) {}}
 }
 
-// plainPlace is the place of a request at a plain server under admission control.
-type plainPlace struct {
+// plainPlacement is the place of a request at a plain server under admission control.
+type plainPlacement struct {
 	state    *plainState
 	sent     policy.SentPlainRequest
 	answered bool // the server's own answer has come, and is no failure
@@ -57,20 +57,20 @@
 	return state
 }
 
-// assumedWork is the service time before any server of a service has answered.
-const assumedWork = 10 * time.Millisecond
+// defaultServiceTime is the service time before any server of a service has answered.
+const defaultServiceTime = 10 * time.Millisecond
 
 // mean returns the mean service time of the backend servers that have answered.
 func (p *plainServers) mean(usable []*knowledge.Backend) time.Duration {
 	var sum, known time.Duration
 	for _, backend := range usable {
-		if state := p.states[backend.Incarnation]; state != nil && state.work.Learned() > 0 {
-			sum += state.work.Learned()
+		if state := p.states[backend.Incarnation]; state != nil && state.serviceTime.Learned() > 0 {
+			sum += state.serviceTime.Learned()
 			known++
 		}
 	}
 	if known == 0 {
-		return assumedWork
+		return defaultServiceTime
 	}
 	return sum / known
 }
@@ -82,7 +82,7 @@
 	a.plain.mu.Lock()
 	defer a.plain.mu.Unlock()
 	now := boottime.Now() // under the lock, so that moments follow each other
-	servers, heard := a.lookPlain(usable, now)
+	servers, running := a.plainCandidates(usable, now)
 	choice := a.policy().ChoosePlain(policy.PlainRequest{
 		Target:     request.Route.TargetLatency,
 		Remaining:  request.Remaining(now),
@@ -97,71 +97,71 @@
 	if !choice.Fits {
 		return nil, &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonBusy, RetryAfter: choice.RetryAfter, Inputs: inputs}
 	}
-	place := &plainPlace{state: a.plain.state(backend.Incarnation, now)}
-	place.sent = policy.SentPlainRequest{At: now, Rounds: policy.PlainRounds(heard[choice.Server], backend.Slots)}
-	place.state.work.Begin(&place.sent)
+	place := &plainPlacement{state: a.plain.state(backend.Incarnation, now)}
+	place.sent = policy.SentPlainRequest{At: now, Rounds: policy.PlainRounds(running[choice.Server], backend.Slots)}
+	place.state.serviceTime.Begin(&place.sent)
 	placed := &placement{backend: backend, load: BackendLoad{Running: 1}, plain: place, inputs: inputs}
 	a.loads.begin(backend.Incarnation, placed.load)
 	return placed, nil
 }
 
-// lookPlain returns the usable backend servers as candidates, and how many requests
+// plainCandidates returns the usable backend servers as candidates, and how many requests
 // each has as far as this router has heard. What is expected there is no measure of
 // how long an answer waited: requests are sent when little is expected.
-func (a *admission) lookPlain(usable []*knowledge.Backend, now boottime.Instant) ([]policy.PlainServer, []int) {
-	servers, heard := make([]policy.PlainServer, len(usable)), make([]int, len(usable))
+func (a *admission) plainCandidates(usable []*knowledge.Backend, now boottime.Instant) ([]policy.PlainServer, []int) {
+	servers, running := make([]policy.PlainServer, len(usable)), make([]int, len(usable))
 	mean, dither, routers := a.plain.mean(usable), rand.Float64(), a.peers.Routers()
 	paces := a.paces.snapshot()
 	for i, backend := range usable {
 		state := a.plain.state(backend.Incarnation, now)
 		own, _ := a.loads.get(backend.Incarnation)
 		others := a.peers.Load(backend.IncarnationHash).Running
-		heard[i] = own.Running + others
-		seen := policy.PlainCounts{Own: own.Running, Others: others, Slots: backend.Slots, Routers: routers}
+		running[i] = own.Running + others
+		counts := policy.PlainCounts{Own: own.Running, Others: others, Slots: backend.Slots, Routers: routers}
 		servers[i] = policy.PlainServer{
-			Running:     state.load.Estimate(seen, dither, now),
+			Running:     state.load.Estimate(counts, dither, now),
 			Slots:       backend.Slots,
 			SameZone:    backend.Zone == a.zone,
-			ServiceTime: state.work.At(now, mean),
+			ServiceTime: state.serviceTime.At(now, mean),
 			Slowdown:    paces.Engine(backend.IncarnationHash).Slowdown(),
 		}
 	}
-	return servers, heard
+	return servers, running
 }
 
 // recordPlainAnswer notes an answer that is no failure of the server. took is the time
 // since the request was sent, and valid tells that the answer is a whole success.
-func (a *admission) recordPlainAnswer(placed *placement, valid bool, took time.Duration) {
+func (a *admission) recordPlainAnswer(placed *placement, success bool, took time.Duration) {
 	if placed.plain == nil {
 		return
 	}
 	a.plain.mu.Lock()
 	defer a.plain.mu.Unlock()
 	placed.plain.answered = true
-	if valid {
-		placed.plain.state.work.Observe(&placed.plain.sent, took)
+	if success {
+		placed.plain.state.serviceTime.Observe(&placed.plain.sent, took)
 	}
 }
 
-// failedCountMost bounds how long a failed request counts at its server. breakWatch takes
+// maxFailedHold bounds how long a failed request counts at its server. breakWatch takes
 // requests reported in breakRecent for a sign of life, so those that a crash has ended must
 // not be reported then.
-const failedCountMost = silenceTimeout - reportWindow
+const maxFailedHold = silenceTimeout - reportWindow
 
-// leavePlain counts a request out at its plain server. One that ran and failed sooner
+// releasePlain counts a request out at its plain server. One that ran and failed sooner
 // than its answer was due counts until then, here and at the other routers.
-func (a *admission) leavePlain(placed *placement, ran bool) {
+func (a *admission) releasePlain(placed *placement, ran bool) {
 	place, now := placed.plain, boottime.Now()
 	a.plain.mu.Lock()
-	place.state.work.End(&place.sent)
-	rest := place.state.work.RemainingTime(&place.sent, now)
+	place.state.serviceTime.End(&place.sent)
+	remaining := place.state.serviceTime.RemainingTime(&place.sent, now)
 	a.plain.mu.Unlock()
-	leave := func() { a.loads.end(placed.backend.Incarnation, placed.load) }
-	if !ran || place.answered || rest == 0 {
-		leave()
+	release := func() { a.loads.end(placed.backend.Incarnation, placed.load) }
+	if !ran || place.answered || remaining == 0 {
+		release()
 		return
 	}
-	time.AfterFunc(min(rest, failedCountMost), leave)
+	time.AfterFunc(min(remaining, maxFailedHold), release)
 }
 
 // prune forgets plain servers that are no longer listed.
@@ -173,7 +173,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for incarnation, state := range p.states {
-		if !listed[incarnation] && now.Sub(state.lastUsed) > loadLife {
+		if !listed[incarnation] && now.Sub(state.lastUsed) > unusedStateTTL {
 			delete(p.states, incarnation)
 		}
 	}
--- a/internal/gate/plain_test.go
+++ b/internal/gate/plain_test.go
@@ -67,7 +67,7 @@
 
 // Guards against a crowded server getting everything, and against a refusal of a
 // request that was sent, or without a time to come back.
-func TestCrowdedPlainServerRefuses(t *testing.T) {
+func TestOverloadedPlainServerRefuses(t *testing.T) {
 	for _, admission := range []bool{false, true} {
 		var arrived atomic.Int32
 		slots := make(chan struct{}, 2)
@@ -104,7 +104,7 @@
 
 // Guards against a server that answers errors at once seeming to have free slots,
 // and against its failed requests being counted for good.
-func TestFailedPlainRequestsCountForAWhile(t *testing.T) {
+func TestFailedPlainRequestsCountForATime(t *testing.T) {
 	var failing atomic.Bool
 	m := plainGate(t, PlainSettings{Admission: true}, func(w http.ResponseWriter, _ *http.Request) {
 		if failing.Load() {
@@ -129,7 +129,7 @@
 }
 
 // Guards against the switch not reaching the decision, or being on by default.
-func TestPlainSettingsAreTaken(t *testing.T) {
+func TestPlainSettingsAreApplied(t *testing.T) {
 	config := Config{}
 	if config.Settings().Plain.Admission {
 		t.Error("admission control is on by default")
@@ -146,17 +146,17 @@
 	m := plainGate(t, PlainSettings{Admission: true}, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	for _, backend := range m.handler.state.View().Backends {
 		state := m.handler.admission.plain.state(backend.Incarnation, boottime.Now())
-		state.work.Observe(&policy.SentPlainRequest{Rounds: 1}, 10*time.Second)
+		state.serviceTime.Observe(&policy.SentPlainRequest{Rounds: 1}, 10*time.Second)
 	}
 	askPlain(m)
-	var told []uint64
-	for ends := time.Now().Add(reportedSilenceTimeout + time.Second); len(told) == 0 && time.Now().Before(ends); {
+	var suspects []uint64
+	for ends := time.Now().Add(reportedSilenceTimeout + time.Second); len(suspects) == 0 && time.Now().Before(ends); {
 		time.Sleep(judgeInterval)
 		m.handler.judgeDue(boottime.Now())
-		told = m.TakeCrashFingerprints()
+		suspects = m.TakeCrashFingerprints()
 	}
-	if len(told) != 1 {
-		t.Errorf("%d requests were found to have crashed the server, want 1", len(told))
+	if len(suspects) != 1 {
+		t.Errorf("%d requests were found to have crashed the server, want 1", len(suspects))
 	}
 }
 
--- a/internal/gate/ranking.go
+++ b/internal/gate/ranking.go
@@ -23,36 +23,36 @@
 
 // rank returns the positions in the list of the engines that the part prefers most, the
 // first one first: so many, or fewer when the list is shorter.
-func (r ranking) rank(list []*knowledge.Backend, part string, most int) []int {
+func (r ranking) rank(list []*knowledge.Backend, segment string, limit int) []int {
 	if !r.weighted {
-		return selection.Rank(list, idHash, selection.Hash(part), most)
+		return selection.Rank(list, backendIDHash, selection.Hash(segment), limit)
 	}
-	return selection.RankWeighted(list, idHash, r.cache.weights(list, r), selection.Hash(part), most)
+	return selection.RankWeighted(list, backendIDHash, r.cache.weights(list, r), selection.Hash(segment), limit)
 }
 
-// rankDrawn is like rank for a list that was drawn from a kept one, in its order.
-func (r ranking) rankDrawn(list, kept []*knowledge.Backend, part string, most int) []int {
+// rankFiltered is like rank for a list that was drawn from a kept one, in its order.
+func (r ranking) rankFiltered(filtered, full []*knowledge.Backend, segment string, limit int) []int {
 	if !r.weighted {
-		return r.rank(list, part, most)
+		return r.rank(filtered, segment, limit)
 	}
-	weights, ok := drawWeights(list, kept, r.cache.weights(kept, r))
+	weights, ok := filterWeights(filtered, full, r.cache.weights(full, r))
 	if !ok {
-		weights = r.weigh(list)
+		weights = r.weigh(filtered)
 	}
-	return selection.RankWeighted(list, idHash, weights, selection.Hash(part), most)
+	return selection.RankWeighted(filtered, backendIDHash, weights, selection.Hash(segment), limit)
 }
 
-// drawWeights returns the weights of the engines of a list that was drawn from a kept
+// filterWeights returns the weights of the engines of a list that was drawn from a kept
 // one, given those of the kept one. It returns false if the list has other engines or
 // another order.
-func drawWeights(list, kept []*knowledge.Backend, weights []float64) ([]float64, bool) {
-	drawn := make([]float64, 0, len(list))
-	for i, backend := range kept {
-		if len(drawn) < len(list) && list[len(drawn)] == backend {
-			drawn = append(drawn, weights[i])
+func filterWeights(filtered, full []*knowledge.Backend, weights []float64) ([]float64, bool) {
+	selected := make([]float64, 0, len(filtered))
+	for i, backend := range full {
+		if len(selected) < len(filtered) && filtered[len(selected)] == backend {
+			selected = append(selected, weights[i])
 		}
 	}
-	return drawn, len(drawn) == len(list)
+	return selected, len(selected) == len(filtered)
 }
 
 // sameList tells whether both are one list.
@@ -67,8 +67,8 @@
 	})
 }
 
-// listCacheMost bounds the cached lists. Each view has a few for each service.
-const listCacheMost = 64
+// maxCachedLists bounds the cached lists. Each view has a few for each service.
+const maxCachedLists = 64
 
 // listCache keeps what follows from whole lists of engines, so that requests do not work
 // it out for hundreds of engines each. It is for the lists of views, and those that it
@@ -78,7 +78,7 @@
 	mu       sync.Mutex
 	snapshot *pace.Snapshot
 	weighed  map[weighedKey]weighedList
-	near     map[**knowledge.Backend]nearList
+	ownZone  map[**knowledge.Backend]zoneList
 }
 
 // weighedKey names a list by its first element.
@@ -93,13 +93,13 @@
 	weights []float64
 }
 
-type nearList struct {
-	list []*knowledge.Backend
-	near []*knowledge.Backend
+type zoneList struct {
+	list   []*knowledge.Backend
+	inZone []*knowledge.Backend
 }
 
 func newListCache() *listCache {
-	return &listCache{weighed: make(map[weighedKey]weighedList), near: make(map[**knowledge.Backend]nearList)}
+	return &listCache{weighed: make(map[weighedKey]weighedList), ownZone: make(map[**knowledge.Backend]zoneList)}
 }
 
 // weights returns the weights of the engines in the order of the list.
@@ -109,7 +109,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.snapshot != by.snapshot || len(c.weighed) >= listCacheMost {
+	if c.snapshot != by.snapshot || len(c.weighed) >= maxCachedLists {
 		clear(c.weighed)
 		c.snapshot = by.snapshot
 	}
@@ -130,14 +130,14 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.near) >= listCacheMost {
-		clear(c.near)
+	if len(c.ownZone) >= maxCachedLists {
+		clear(c.ownZone)
 	}
-	if known := c.near[&list[0]]; len(known.list) == len(list) {
-		return known.near
+	if known := c.ownZone[&list[0]]; len(known.list) == len(list) {
+		return known.inZone
 	}
 	near := inZone(list, zone)
-	c.near[&list[0]] = nearList{list: list, near: near}
+	c.ownZone[&list[0]] = zoneList{list: list, inZone: near}
 	return near
 }
 
--- a/internal/gate/ranking_test.go
+++ b/internal/gate/ranking_test.go
@@ -21,43 +21,43 @@
 	zones := []fleet.Zone{"z", "y", "x"}
 	a, view, request := benchAdmissionInZones(30, 1, 4, BackendLoad{Running: 3, Pending: 400}, zones)
 	reportWorkTimes(a, view)
-	a.loads.shunned[view.Backends["i-1"].Incarnation] = boottime.Now().Add(time.Hour)
-	for range 2 * listCacheMost {
+	a.loads.ejected[view.Backends["i-1"].Incarnation] = boottime.Now().Add(time.Hour)
+	for range 2 * maxCachedLists {
 		placed, refusal := a.place(request, view, nil)
 		if refusal != nil {
 			t.Fatalf("%+v", refusal)
 		}
 		a.release(request, placed, false)
 	}
-	kept := [][]*knowledge.Backend{view.Serving["s"], view.ByService["s"]}
+	viewLists := [][]*knowledge.Backend{view.Serving["s"], view.ByService["s"]}
 	for key := range a.lists.weighed {
-		if !slices.ContainsFunc(kept, func(list []*knowledge.Backend) bool { return key.list == &list[0] }) {
+		if !slices.ContainsFunc(viewLists, func(list []*knowledge.Backend) bool { return key.list == &list[0] }) {
 			t.Error("the weights of a list that was built for one request are cached")
 		}
 	}
-	if len(a.lists.near) != 0 {
-		t.Errorf("%d lists that were built for single requests are cached", len(a.lists.near))
+	if len(a.lists.ownZone) != 0 {
+		t.Errorf("%d lists that were built for single requests are cached", len(a.lists.ownZone))
 	}
 }
 
 // Guards against engines that get the weights of others while some get no requests.
-func TestDrawnListsAreRankedByTheirOwnWeights(t *testing.T) {
+func TestFilteredListsAreRankedByTheirOwnWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		kept := make([]*knowledge.Backend, rapid.IntRange(1, 20).Draw(t, "engines"))
+		full := make([]*knowledge.Backend, rapid.IntRange(1, 20).Draw(t, "engines"))
 		own := make(map[uint32]pace.Observation)
-		for i := range kept {
-			kept[i] = &knowledge.Backend{IDHash: uint64(i) * 2654435761, IncarnationHash: uint32(i)}
+		for i := range full {
+			full[i] = &knowledge.Backend{IDHash: uint64(i) * 2654435761, IncarnationHash: uint32(i)}
 			own[uint32(i)] = pace.Observation{Usual: rapid.Float64Range(0.1, 10).Draw(t, "work time")}
 		}
 		snapshot := pace.NewSnapshot(own, nil, func(uint32) float64 { return 0 }, boottime.Now())
 		by := ranking{weighted: true, snapshot: snapshot, exponent: 3, cache: newListCache()}
-		list := lo.Filter(kept, func(*knowledge.Backend, int) bool { return rapid.Bool().Draw(t, "usable") })
-		part := rapid.String().Draw(t, "part")
-		if got, want := by.rankDrawn(list, kept, part, 10), by.rank(list, part, 10); !slices.Equal(got, want) {
+		list := lo.Filter(full, func(*knowledge.Backend, int) bool { return rapid.Bool().Draw(t, "usable") })
+		segment := rapid.String().Draw(t, "part")
+		if got, want := by.rankFiltered(list, full, segment, 10), by.rank(list, segment, 10); !slices.Equal(got, want) {
 			t.Errorf("ranked %v, want %v", got, want)
 		}
 		slices.Reverse(list) // was not drawn in order
-		if got, want := by.rankDrawn(list, kept, part, 10), by.rank(slices.Clone(list), part, 10); !slices.Equal(got, want) {
+		if got, want := by.rankFiltered(list, full, segment, 10), by.rank(slices.Clone(list), segment, 10); !slices.Equal(got, want) {
 			t.Errorf("ranked %v in another order, want %v", got, want)
 		}
 	})
--- a/internal/gate/request.go
+++ b/internal/gate/request.go
@@ -72,9 +72,9 @@
 	return shared
 }
 
-// generatedWeight is how often a generated token counts where a prompt token
+// outputTokenWeight is how often a generated token counts where a prompt token
 // counts once: the users' measure of what engines produce.
-const generatedWeight = 2
+const outputTokenWeight = 2
 
 // Cost returns the tokens that the request takes from the fleet's capacity.
 func (p Prompt) Cost() float64 {
@@ -82,12 +82,12 @@
 	if p.ExpectedOutput > 0 {
 		output = min(p.ExpectedOutput, p.MaxOutput)
 	}
-	return float64(p.Tokens + generatedWeight*output)
+	return float64(p.Tokens + outputTokenWeight*output)
 }
 
-// takesShare tells whether the request takes of what accounts share: it asks a model
+// countsTowardShare tells whether the request takes of what accounts share: it asks a model
 // for something, with a key.
-func (r *Request) takesShare() bool { return r.Account != nil && r.Prompt.Tokens > 0 }
+func (r *Request) countsTowardShare() bool { return r.Account != nil && r.Prompt.Tokens > 0 }
 
 // Idempotent tells whether the request may run more than once.
 func (r *Request) Idempotent() bool { return r.Route.Repeat != knowledge.RepeatNever }
--- a/internal/gate/tally.go
+++ b/internal/gate/requestcounts.go
@@ -11,9 +11,9 @@
 	"github.com/bluebellchute/bluebellchute/internal/fleet"
 )
 
-// tallyAccounts bounds the accounts of one record, those that asked most. The
+// maxListedAccounts bounds the accounts of one record, those that asked most. The
 // others are summed up, so that a record stays small with thousands of them.
-const tallyAccounts = 40
+const maxListedAccounts = 40
 
 // otherAccounts stands for those beyond the bound.
 const otherAccounts fleet.Account = "(others)"
@@ -58,7 +58,7 @@
 
 // addRequested counts a request that has arrived.
 func (t *requestCounts) addRequested(request *Request) {
-	if !request.takesShare() {
+	if !request.countsTowardShare() {
 		return
 	}
 	t.mu.Lock()
@@ -67,7 +67,7 @@
 }
 
 // addEnd counts the end of a request.
-func (t *requestCounts) addEnd(request *Request, note func(route *RouteCounts)) {
+func (t *requestCounts) addEnd(request *Request, count func(route *RouteCounts)) {
 	name := ""
 	if request != nil && request.Route != nil {
 		name = request.Route.Name
@@ -79,7 +79,7 @@
 		route = &RouteCounts{}
 		t.routes[name] = route
 	}
-	note(route)
+	count(route)
 }
 
 // addAnswer counts an answer.
@@ -93,7 +93,7 @@
 		default:
 			route.InTime++
 		}
-		if success && request.takesShare() {
+		if success && request.countsTowardShare() {
 			t.account(request.Account.Name).Served += int64(request.Prompt.Cost())
 		}
 	})
@@ -142,13 +142,13 @@
 	slices.SortFunc(all, func(a, b AccountCounts) int {
 		return cmp.Or(cmp.Compare(b.Requested, a.Requested), cmp.Compare(a.Account, b.Account))
 	})
-	if len(all) <= tallyAccounts {
+	if len(all) <= maxListedAccounts {
 		return all
 	}
 	rest := AccountCounts{Account: otherAccounts}
-	for _, account := range all[tallyAccounts:] {
+	for _, account := range all[maxListedAccounts:] {
 		rest.Requested += account.Requested
 		rest.Served += account.Served
 	}
-	return append(all[:tallyAccounts], rest)
+	return append(all[:maxListedAccounts], rest)
 }
--- a/internal/gate/keptparts_test.go
+++ b/internal/gate/segmentindex_test.go
@@ -14,12 +14,12 @@
 // part; when the first has room again, the part's requests go there.
 // Cause: where a part was read was known from the order of its key alone, which
 // names the preferred engine.
-func TestPartsAreFetchedFromWhereTheyWereRead(t *testing.T) {
+func TestSegmentsAreFetchedFromWhereTheyWereRead(t *testing.T) {
 	a, view, request := benchAdmission(6, 1, 4, BackendLoad{})
 	usable := view.Serving["s"]
-	ranked := selection.Rank(usable, idHash, selection.Hash(request.Prompt.SharedSegment()), 2)
+	ranked := selection.Rank(usable, backendIDHash, selection.Hash(request.Prompt.SharedSegment()), 2)
 	first, second := usable[ranked[0]], usable[ranked[1]]
-	request.Prompt.Segments[0].ID = partAtHome(usable, first)
+	request.Prompt.Segments[0].ID = segmentPreferring(usable, first)
 	full := BackendLoad{Running: first.Slots}
 	a.loads.begin(first.Incarnation, full)
 	placed, refusal := a.place(request, view, nil)
@@ -39,30 +39,30 @@
 	}
 }
 
-// partAtHome returns the id of a part that the backend server is preferred for.
-func partAtHome(usable []*knowledge.Backend, home *knowledge.Backend) string {
+// segmentPreferring returns the id of a part that the backend server is preferred for.
+func segmentPreferring(usable []*knowledge.Backend, engine *knowledge.Backend) string {
 	for i := 0; ; i++ {
 		id := fmt.Sprint("part", i)
-		if usable[selection.Rank(usable, idHash, selection.Hash(id), 1)[0]] == home {
+		if usable[selection.Rank(usable, backendIDHash, selection.Hash(id), 1)[0]] == engine {
 			return id
 		}
 	}
 }
 
 // An engine that started again keeps nothing.
-func TestKeeperThatStartedAgainKeepsNothing(t *testing.T) {
+func TestRestartedEngineCachesNothing(t *testing.T) {
 	state := knowledge.NewState()
 	backend := knowledge.Backend{ID: "i", Service: "s", Address: "10.0.0.1:1", StartedAt: 1}
 	state.SetBackends([]knowledge.Backend{backend}, knowledge.Position{Revision: 1}, boottime.Now())
-	kept := newKeptParts()
+	index := newSegmentIndex()
 	before := state.View()
-	kept.note("part", before.Backends["i"])
-	if kept.keeper("part", before) != before.Backends["i"] || kept.keeper("other", before) != nil {
+	index.recordRead("part", before.Backends["i"])
+	if index.cacheHolder("part", before) != before.Backends["i"] || index.cacheHolder("other", before) != nil {
 		t.Error("the engine that read the part is not the one that keeps it")
 	}
 	backend.StartedAt = 2
 	state.SetBackends([]knowledge.Backend{backend}, knowledge.Position{Revision: 2}, boottime.Now())
-	if keeper := kept.keeper("part", state.View()); keeper != nil {
+	if keeper := index.cacheHolder("part", state.View()); keeper != nil {
 		t.Errorf("%+v keeps a part that its start before it read", keeper)
 	}
 }
--- a/internal/gate/streampace.go
+++ b/internal/gate/streamtiming.go
@@ -8,16 +8,16 @@
 
 // streamTiming watches whether the events of a stream come in time.
 type streamTiming struct {
-	first boottime.Instant // until when the first event is in time, 0 for always
-	gap   time.Duration    // longest pause in time, 0 for any
-	last  boottime.Instant // when the last event came, 0 before the first
-	late  bool
+	firstDeadline boottime.Instant // until when the first event is in time, 0 for always
+	maxGap        time.Duration    // longest pause in time, 0 for any
+	last          boottime.Instant // when the last event came, 0 before the first
+	late          bool
 }
 
 func newStreamTiming(request *Request) *streamTiming {
-	p := &streamTiming{gap: request.Route.TargetGap}
+	p := &streamTiming{maxGap: request.Route.TargetGap}
 	if target := request.Route.TargetLatency; target > 0 {
-		p.first = request.Received.Add(target)
+		p.firstDeadline = request.Received.Add(target)
 	}
 	return p
 }
@@ -27,8 +27,8 @@
 	began := p.last == 0
 	switch {
 	case began:
-		p.late = p.first != 0 && now > p.first
-	case p.gap > 0 && now.Sub(p.last) > p.gap:
+		p.late = p.firstDeadline != 0 && now > p.firstDeadline
+	case p.maxGap > 0 && now.Sub(p.last) > p.maxGap:
 		p.late = true
 	}
 	p.last = now
--- a/internal/gate/closures.go
+++ b/internal/gate/unavailable.go
@@ -13,16 +13,16 @@
 const (
 	// indefinitely is the end of a closure of a backend server that leaves.
 	indefinitely = boottime.Instant(math.MaxInt64)
-	// closureLife is how long a closure is remembered of a backend server that is no
+	// unlistedTTL is how long a closure is remembered of a backend server that is no
 	// longer listed: longer than entries take that lapse in an outage of the store and
 	// are written again.
-	closureLife = time.Minute
+	unlistedTTL = time.Minute
 )
 
 // unavailability tells that a backend server wants nothing new.
 type unavailability struct {
-	until   boottime.Instant
-	missing boottime.Instant // since when the backend server is not listed, 0 if it is
+	until         boottime.Instant
+	unlistedSince boottime.Instant // since when the backend server is not listed, 0 if it is
 }
 
 // unavailableServers are the backend servers that have said in their answers that they want nothing
@@ -45,10 +45,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	known := c.known[incarnation]
-	open := known.until <= now
+	wasAvailable := known.until <= now
 	known.until = max(known.until, until)
 	c.known[incarnation] = known
-	return open
+	return wasAvailable
 }
 
 // at returns until when backend servers are closed at the moment, by incarnation, nil if
@@ -56,18 +56,18 @@
 func (c *unavailableServers) at(now boottime.Instant) map[string]boottime.Instant {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var closed map[string]boottime.Instant
+	var unavailable map[string]boottime.Instant
 	for incarnation, known := range c.known {
 		if now >= known.until {
 			delete(c.known, incarnation)
 			continue
 		}
-		if closed == nil {
-			closed = make(map[string]boottime.Instant, len(c.known))
+		if unavailable == nil {
+			unavailable = make(map[string]boottime.Instant, len(c.known))
 		}
-		closed[incarnation] = known.until
+		unavailable[incarnation] = known.until
 	}
-	return closed
+	return unavailable
 }
 
 // has tells whether a backend server is closed at the moment.
@@ -88,13 +88,13 @@
 	for incarnation, known := range c.known {
 		switch {
 		case listed[incarnation]:
-			known.missing = 0
-		case known.missing == 0:
-			known.missing = now
+			known.unlistedSince = 0
+		case known.unlistedSince == 0:
+			known.unlistedSince = now
 		}
 		c.known[incarnation] = known
 	}
 	maps.DeleteFunc(c.known, func(_ string, known unavailability) bool {
-		return known.missing != 0 && now.Sub(known.missing) > closureLife
+		return known.unlistedSince != 0 && now.Sub(known.unlistedSince) > unlistedTTL
 	})
 }
