--- a/internal/gate/admission.go
+++ b/internal/gate/admission.go
@@ -17,24 +17,25 @@
 	"github.com/bluebellchute/bluebellchute/internal/slowstart"
 )
 
-// placement is a request's place at a backend server.
+// placement is the backend server chosen for a request, and what the request counts for
+// there.
 type placement struct {
 	backend *knowledge.Backend
 	load    BackendLoad
-	pending float64 // prompt tokens waiting there, this request's included
+	pending float64 // prompt tokens waiting there, including this request's
 	model   bool
-	tier    policy.Tier // which of its account's sums the request counts in
-	// fetchSource is the address of an engine that probably keeps shared parts
-	// which the chosen one lacks, "" for none.
+	tier    policy.Tier // decides which counters of the account the request is added to
+	// fetchSource is the address of an engine that probably caches shared segments which
+	// the chosen one lacks, "" for none.
 	fetchSource fleet.Address
-	// permit is that of a cold backend server, nil for a warm one.
+	// permit limits requests to a cold backend server; nil for a warm one.
 	permit *slowstart.Permit
-	// plain is the place at a plain server under admission control, else nil.
+	// plain is set for a plain server under admission control, else nil.
 	plain  *plainPlacement
 	inputs Inputs
 }
 
-// admission decides which request is sent where. Its methods may be called
+// admission decides whether and where a request is sent. Its methods may be called
 // concurrently.
 type admission struct {
 	settings    *currentSettings
@@ -70,7 +71,7 @@
 	}
 }
 
-// recordRequest counts a request that has arrived.
+// recordRequest counts the tokens of a request that has arrived.
 func (a *admission) recordRequest(request *Request) {
 	if !request.countsTowardShare() {
 		return
@@ -80,17 +81,18 @@
 	a.ledger.AddRequested(request.Account.Name, request.Prompt.Cost(), boottime.Now())
 }
 
-// withinShare tells whether the request's account has had less than its share. Requests
-// to plain services are, as they take none of what is shared.
+// withinShare reports whether the request's account has used less than its share. Requests
+// to plain services use no shared capacity, so it is always true for them.
 func (a *admission) withinShare(request *Request, view *knowledge.View) bool {
 	if request.Prompt.Tokens == 0 {
 		return true
 	}
-	return a.standing(request, view.Index.Configuration.Limits.TokensPerSecond, boottime.Now()).WithinShare()
+	return a.accountUsage(request, view.Index.Configuration.Limits.TokensPerSecond, boottime.Now()).WithinShare()
 }
 
-// recordUnrelatedRefusal notes that a request was turned away for another reason than what its
-// engines can do: what accounts get meanwhile says nothing of the engines.
+// recordUnrelatedRefusal records that a request was refused for a reason other than the
+// capacity of the engines. What accounts are granted meanwhile is no measure of that
+// capacity.
 func (a *admission) recordUnrelatedRefusal(request *Request) {
 	if !request.countsTowardShare() {
 		return
@@ -100,8 +102,9 @@
 	a.ledger.PauseCapacityTest(boottime.Now())
 }
 
-// place chooses a backend server for the request and counts the request in
-// there, or refuses it. excluded are backend servers that failed it before.
+// place chooses a backend server for the request and adds the request to its load, or
+// returns a refusal. excluded holds the backend servers that have already failed the
+// request.
 func (a *admission) place(request *Request, view *knowledge.View, excluded map[string]bool) (*placement, *Refusal) {
 	now := boottime.Now()
 	cold := a.cold.bounds(view, request.Service, now)
@@ -117,8 +120,8 @@
 	}
 	permit, ok := a.cold.acquire(cold, placed.backend, now)
 	if !ok {
-		// Another request has just taken the last permit, so that the next look
-		// finds this backend server closed.
+		// Another request has just taken the last permit. The next attempt finds this
+		// backend server unusable.
 		a.release(request, placed, false)
 		return a.place(request, view, excluded)
 	}
@@ -126,8 +129,9 @@
 	return placed, nil
 }
 
-// placeAmong chooses one of the usable backend servers for the request and counts
-// the request in there, or refuses it. again tells that one has failed it before.
+// placeAmong chooses one of the usable backend servers for the request and adds the request
+// to its load, or returns a refusal. retried reports whether a backend server has already
+// failed the request.
 func (a *admission) placeAmong(request *Request, view *knowledge.View, usable []*knowledge.Backend, retried bool) (*placement, *Refusal) {
 	if request.Prompt.Tokens > 0 {
 		return a.placeModel(request, view, usable, retried)
@@ -142,7 +146,7 @@
 	return &Refusal{Status: http.StatusServiceUnavailable, Reason: reason, RetryAfter: a.retryAfter(request)}
 }
 
-// retryAfter returns the time to come back for a request that has not run.
+// retryAfter returns the Retry-After time for a request that has not run.
 func (a *admission) retryAfter(request *Request) time.Duration {
 	return a.policy().RetryAfter(request.Route.TargetLatency)
 }
@@ -169,25 +173,25 @@
 	return placed
 }
 
-// recordFirstEvent notes the first event of a placed request after the time since it was
-// sent.
+// recordFirstEvent records the first event of a placed request, which came this long after
+// the request was sent.
 func (a *admission) recordFirstEvent(request *Request, placed *placement, took time.Duration) {
 	if !placed.model || placed.load.Pending == 0 {
 		return
 	}
 	a.segments.recordRead(request.Prompt.SharedSegment(), placed.backend)
 	a.loads.removePending(placed.backend.Incarnation, placed.load.Pending)
-	if placed.permit == nil { // a cold engine does not tell what engines can do
+	if placed.permit == nil { // a cold engine's speed says nothing about the others
 		a.loads.recordReading(request.Service, placed.pending, a.paces.recordReading(placed.backend, placed.pending, took))
 	}
 	placed.load.Pending = 0
 }
 
-// recordStreamEnd notes the end of a stream that came whole. late tells that its first
-// event or a later one missed what the route promises. It is not called while the
-// router's own processor may have made the answer late: that says nothing of the
-// engines, and lower budgets would refuse requests whose engines have room. For the
-// same reason an engine that is still cold does not count.
+// recordStreamEnd records the end of a complete stream. late reports whether its first
+// event or a later one came later than the route promises. It is not called while the
+// router's own CPU may have delayed the answer: such delays say nothing about the engines,
+// and lower budgets would refuse requests for which engines have room. For the same reason
+// cold engines do not count.
 func (a *admission) recordStreamEnd(service fleet.Service, placed *placement, late bool) {
 	if placed.permit == nil {
 		a.loads.recordLateness(service, late)
@@ -195,7 +199,8 @@
 	}
 }
 
-// release counts a placed request out. ran is false when it did not run.
+// release removes a placed request from the loads. ran reports whether it ran; if not, its
+// account gets the tokens back.
 func (a *admission) release(request *Request, placed *placement, ran bool) {
 	if placed.plain != nil {
 		a.releasePlain(placed, ran)
@@ -215,8 +220,7 @@
 	a.ledger.RefundGranted(request.Account.Name, request.Prompt.Cost(), boottime.Now())
 }
 
-// inputs returns what decisions on requests for models rest on at the moment,
-// for the records.
+// inputs returns the current state behind decisions on model requests, for the request log.
 func (a *admission) inputs(view *knowledge.View) logrus.Fields {
 	fields := logrus.Fields{"headroom": a.loads.headrooms()}
 	if view.Index != nil {
@@ -226,7 +230,7 @@
 	defer a.mu.Unlock()
 	fields["shortage"] = a.ledger.Shortage()
 	if level := a.ledger.MaxMinShare(); !math.IsInf(level, 1) {
-		fields["share_level"] = level // "level" is the record's own
+		fields["share_level"] = level // "level" is the log level
 	}
 	return fields
 }
--- a/internal/gate/budget.go
+++ b/internal/gate/budget.go
@@ -8,26 +8,26 @@
 	"github.com/bluebellchute/bluebellchute/internal/fleet"
 )
 
-// BudgetSettings bound the second sends of all routers together.
+// RetryBudgetSettings bound the retries of all routers together.
 type RetryBudgetSettings struct {
-	Ratio  float64       // second sends per request
-	Extra  float64       // second sends beyond that in one window
+	Ratio  float64       // retries per request
+	Extra  float64       // retries beyond that in one window
 	Window time.Duration // sliding
 }
 
-// usedBudgetShare is the part of the fleet's budget that the routers use. The
-// rest covers requests that are counted in another window than the second
-// sends that they paid for, and routers that do not know of each other yet.
+// usedBudgetShare is the fraction of the fleet's budget that the routers use. The rest
+// covers requests that are counted in another window than the retries that they allow, and
+// routers that do not know of each other yet.
 const usedBudgetShare = 0.6
 
-// bucket holds the second sends that may still be made to one service.
+// bucket is a token bucket of the retries that may still be made to one service.
 type bucket struct {
 	tokens float64
 	at     boottime.Instant
 }
 
-// retryBudget bounds how often this router sends a request once more. Without
-// it, a service that fails gets several times its usual requests.
+// retryBudget bounds the retries of this router. Without it, a failing service gets several
+// times its usual requests.
 type retryBudget struct {
 	settings *currentSettings
 	peers    Peers
@@ -39,7 +39,7 @@
 	return &retryBudget{settings: settings, peers: peers, services: make(map[fleet.Service]*bucket)}
 }
 
-// limit is what this router may spend at once: its part of the fleet's extra.
+// limit returns the size of the bucket: this router's share of the fleet's extra retries.
 func (b *retryBudget) limit() float64 {
 	return b.settings.get().Budget.Extra * usedBudgetShare / float64(max(b.peers.Routers(), 1))
 }
@@ -48,18 +48,18 @@
 	known := b.services[service]
 	now := boottime.Now()
 	if known == nil {
-		// Half of it, as this process may have spent some before a restart.
+		// Half full, since this process may have spent some before a restart.
 		known = &bucket{tokens: b.limit() / 2, at: now}
 		b.services[service] = known
 	}
-	// The part that does not depend on requests comes back over a window.
+	// The part that does not depend on requests refills over one window.
 	elapsed := now.Sub(known.at).Seconds()
 	known.tokens = min(known.tokens+elapsed*b.limit()/2/b.settings.get().Budget.Window.Seconds(), b.limit())
 	known.at = now
 	return known
 }
 
-// credit counts a request to the service.
+// credit adds the retries that a request to the service allows.
 func (b *retryBudget) credit(service fleet.Service) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -67,7 +67,7 @@
 	known.tokens = min(known.tokens+b.settings.get().Budget.Ratio*usedBudgetShare, b.limit())
 }
 
-// spend takes one second send and tells whether it may be made.
+// spend takes one retry from the budget and reports whether it may be made.
 func (b *retryBudget) spend(service fleet.Service) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/gate/candidates.go
+++ b/internal/gate/candidates.go
@@ -8,13 +8,13 @@
 	"github.com/bluebellchute/bluebellchute/internal/knowledge"
 )
 
-// candidates returns the backend servers of the service that may take a request.
-// Shunned ones are among them only when there is no other, closed ones never.
+// candidates returns the backend servers of the service that may take a request. Ejected
+// and absent ones are returned only if there is no other; unavailable ones never are.
 func (a *admission) candidates(view *knowledge.View, service fleet.Service, excluded map[string]bool, now boottime.Instant) []*knowledge.Backend {
 	serving := view.Serving[service]
-	shunned := a.loads.ejectedAt(now)
+	ejected := a.loads.ejectedAt(now)
 	unavailable := a.unavailable.at(now)
-	if len(excluded)+len(view.MissingSince)+len(shunned)+len(unavailable) == 0 {
+	if len(excluded)+len(view.MissingSince)+len(ejected)+len(unavailable) == 0 {
 		return serving
 	}
 	candidates := make([]*knowledge.Backend, 0, len(serving))
@@ -23,7 +23,7 @@
 		if excluded[backend.ID] || unavailable[backend.Incarnation] != 0 {
 			continue
 		}
-		if _, absent := view.MissingSince[backend.ID]; absent || shunned[backend.Incarnation] {
+		if _, absent := view.MissingSince[backend.ID]; absent || ejected[backend.Incarnation] {
 			fallback = append(fallback, backend)
 			continue
 		}
@@ -35,9 +35,10 @@
 	return fallback
 }
 
-// refuseAll refuses a request for which no backend server is usable, when so many are
-// sound. While all are closed, callers that come back before the first one opens again
-// would be refused again; they do not all come back at that very moment.
+// refuseAll refuses a request for which no backend server is usable, given the number of
+// candidates. While all are unavailable, callers that came back before the first one
+// accepts requests again would be refused again. The route's usual delay is added to the
+// time until then, so that callers do not all come back at that time.
 func (a *admission) refuseAll(request *Request, view *knowledge.View, candidates int, now boottime.Instant) *Refusal {
 	refusal := a.refuse(request, noBackendReason(view, request.Service, candidates))
 	if refusal.Reason != ReasonNoBackend {
@@ -50,8 +51,8 @@
 	return refusal
 }
 
-// availableAt returns when the first closed backend server of the service takes requests again,
-// 0 if none will or one that is not closed is there.
+// availableAt returns when the first unavailable backend server of the service accepts
+// requests again. It returns 0 if none will, or if one accepts requests now.
 func (a *admission) availableAt(view *knowledge.View, service fleet.Service, now boottime.Instant) boottime.Instant {
 	unavailable := a.unavailable.at(now)
 	first := indefinitely
@@ -68,8 +69,8 @@
 	return first
 }
 
-// noBackendReason returns why no backend server of the service may take a request, when so
-// many are sound.
+// noBackendReason returns why no backend server of the service may take a request, given
+// the number of candidates.
 func noBackendReason(view *knowledge.View, service fleet.Service, candidates int) Reason {
 	if candidates > 0 {
 		return ReasonWarming
--- a/internal/gate/cold.go
+++ b/internal/gate/cold.go
@@ -12,37 +12,37 @@
 	"github.com/bluebellchute/bluebellchute/internal/slowstart"
 )
 
-// ColdSettings bound what a cold backend server may get from all routers; see
+// ColdSettings bound the requests of all routers to a cold backend server; see
 // slowstart.Bound.
 type ColdSettings struct {
 	Overshoot float64 // 0 for no bound
 	Slack     float64
 }
 
-// coldListTTL is how long it is remembered which backend servers of a service are cold.
-// Looking through a long list for each request would cost more than the decision.
+// coldListTTL is how long the list of a service's cold backend servers is reused. Building
+// it for each request would cost more than the decision itself in a large fleet.
 const coldListTTL = 50 * time.Millisecond
 
-// coldServers tells which backend servers are cold, and what each may get of this
-// router. Its methods may be called concurrently.
+// coldServers determines which backend servers are cold, and limits what this router sends
+// to each of them. Its methods may be called concurrently.
 type coldServers struct {
 	settings *currentSettings
 	limiter  *slowstart.Limiter
 
 	mu       sync.Mutex
-	marked   map[string]boottime.Instant // by incarnation: until when it may be cold, as seen at its connections
+	marked   map[string]boottime.Instant // until when a server may be cold, by incarnation, as seen in answers and failed connections
 	services map[fleet.Service]coldList
 }
 
-// coldList are the cold ones of the backend servers that served at the moment.
+// coldList holds the cold servers among those that were serving at a given time.
 type coldList struct {
 	serving []*knowledge.Backend
 	at      boottime.Instant
 	cold    map[string]slowstart.Bound // by incarnation
 }
 
-// fresh tells whether the list holds for these backend servers now. A changed list
-// counts at once: a server that has just appeared would else be taken for a warm one.
+// fresh reports whether the list is valid for these backend servers. A changed list is
+// invalid immediately: otherwise a server that has just appeared would count as warm.
 func (l coldList) fresh(serving []*knowledge.Backend, now boottime.Instant) bool {
 	same := len(l.serving) == len(serving) && (len(serving) == 0 || &l.serving[0] == &serving[0])
 	return same && now.Sub(l.at) < coldListTTL
@@ -61,7 +61,7 @@
 // none is cold. The map must not be changed.
 func (c *coldServers) bounds(view *knowledge.View, service fleet.Service, now boottime.Instant) map[string]slowstart.Bound {
 	settings := view.Index.Service(service)
-	bound := c.bound(settings)
+	bound := c.serviceBound(settings)
 	if bound.Usable() == 0 {
 		return nil
 	}
@@ -84,8 +84,8 @@
 	return known.cold
 }
 
-// bound returns the bound of a service's cold backend servers.
-func (c *coldServers) bound(settings *knowledge.ServiceSettings) slowstart.Bound {
+// serviceBound returns the bound of a service's cold backend servers.
+func (c *coldServers) serviceBound(settings *knowledge.ServiceSettings) slowstart.Bound {
 	if settings == nil {
 		return slowstart.Bound{}
 	}
@@ -93,9 +93,9 @@
 	return slowstart.Bound{Rate: settings.ColdRate, Overshoot: cold.Overshoot, Slack: cold.Slack}
 }
 
-// coldUntil returns when the backend server will be warm for certain. Those of a zone
-// that has been evacuated may have started again just before it was taken back, which
-// their entries tell only with their next heartbeat.
+// coldUntil returns when the backend server is warm at the latest. Servers of an evacuated
+// zone may have restarted just before the zone was taken back into use, which their entries
+// show only with the next heartbeat.
 func (c *coldServers) coldUntil(view *knowledge.View, settings *knowledge.ServiceSettings, backend *knowledge.Backend) boottime.Instant {
 	until := max(backend.ColdUntil, c.marked[backend.Incarnation])
 	if returned, ok := view.Evacuations.ReturnedAt[backend.Zone]; ok {
@@ -104,7 +104,7 @@
 	return until
 }
 
-// markCold tells that a backend server may be cold for the time.
+// markCold records that a backend server may be cold for the remaining time.
 func (c *coldServers) markCold(incarnation string, remaining time.Duration) {
 	if remaining <= 0 {
 		return
@@ -121,16 +121,17 @@
 	clear(c.services)
 }
 
-// assumeRestart tells that no connection to the backend server could be opened. It may
-// start again behind a cut, under its id, without an entry that tells so.
+// assumeRestart records that no connection to the backend server could be opened. It may be
+// restarting under its id while it is cut off from the store, in which case no entry shows
+// the restart.
 func (c *coldServers) assumeRestart(view *knowledge.View, backend *knowledge.Backend) {
 	if settings := view.Index.Service(backend.Service); settings != nil && settings.ColdRate > 0 {
 		c.markCold(backend.Incarnation, connectEjectionTime+settings.ColdStart)
 	}
 }
 
-// usable returns the backend servers that may get a request of this router now: the warm
-// ones, and the cold ones of whose bounds it has a part left.
+// usable returns the backend servers to which this router may send a request now: the warm
+// ones, and the cold ones within this router's share of their bounds.
 func (c *coldServers) usable(cold map[string]slowstart.Bound, backends []*knowledge.Backend, now boottime.Instant) []*knowledge.Backend {
 	if len(cold) == 0 {
 		return backends
@@ -141,8 +142,8 @@
 	})
 }
 
-// acquire takes the permit for one request to the backend server, nil if it is warm. It
-// returns false when the server gets nothing of this router now.
+// acquire takes the permit for one request to the backend server; it is nil for a warm one.
+// It returns false if this router may send nothing to the server now.
 func (c *coldServers) acquire(cold map[string]slowstart.Bound, backend *knowledge.Backend, now boottime.Instant) (*slowstart.Permit, bool) {
 	bound, isCold := cold[backend.Incarnation]
 	if !isCold {
@@ -152,5 +153,5 @@
 	return permit, permit != nil
 }
 
-// coldKey returns the name by which all routers share the bound of a backend server.
+// coldKey returns the key by which all routers share the bound of a backend server.
 func coldKey(backend *knowledge.Backend) uint64 { return uint64(backend.IncarnationHash) }
--- a/internal/gate/cold_test.go
+++ b/internal/gate/cold_test.go
@@ -11,12 +11,13 @@
 
 const coldStart = 3 * time.Second
 
-// coldSettings allow a cold server of coldView's service 15 requests in a window.
+// coldSettings allow a cold server of coldState's service 15 requests in a window.
 func coldSettings() *currentSettings {
 	return newCurrentSettings(Settings{Cold: ColdSettings{Overshoot: 1.5, Slack: 5}})
 }
 
-// coldState knows a warm server i-1 in zone a, and i-2 in zone b that is cold for left.
+// coldState returns a fleet with a warm server i-1 in zone a, and i-2 in zone b that stays
+// cold for the given time.
 func coldState(left time.Duration) *knowledge.State {
 	state := knowledge.NewState()
 	state.SetConfiguration(&knowledge.Configuration{
@@ -37,15 +38,14 @@
 	return found
 }
 
-// Symptom: a server that has just started crashes again and again.
-// Events: it is added; its entry says that it is cold; all routers send to it.
-// Cause: cold servers got what warm ones get.
+// Guards against servers that crash again and again after a start, because all routers send
+// to a cold server as much as to a warm one.
 func TestColdServerGetsItsBound(t *testing.T) {
 	cold := newColdServers(coldSettings(), noPeers{})
 	view := coldState(coldStart).View()
 	now := boottime.Now()
 	if !isCold(cold, view, "i-2", now) || isCold(cold, view, "i-1", now) {
-		t.Fatal("the cold server is not told from the warm one")
+		t.Fatal("the cold server is not distinguished from the warm one")
 	}
 	if isCold(cold, view, "i-3", now) {
 		t.Error("a service without a rate for cold servers has a bound")
@@ -58,19 +58,19 @@
 		}
 	}
 	if permits != 15 {
-		t.Errorf("%d requests at once, want 15", permits)
+		t.Errorf("%d concurrent requests, want 15", permits)
 	}
-	open := cold.usable(cold.bounds(view, "s", now), view.Serving["s"], now)
-	if len(open) != 1 || open[0].ID != "i-1" {
-		t.Errorf("open: %v", open)
+	usable := cold.usable(cold.bounds(view, "s", now), view.Serving["s"], now)
+	if len(usable) != 1 || usable[0].ID != "i-1" {
+		t.Errorf("usable: %v", usable)
 	}
 	if later := now.Add(coldStart + time.Second); isCold(cold, view, "i-2", later) {
 		t.Error("it stays cold")
 	}
 }
 
-// An entry that is told again, by a list or by another router, starts no new time; a
-// newer one does.
+// An entry that is received again, in a list or from another router, must not extend the
+// cold time; a newer one does.
 func TestColdTimeIsCountedOnce(t *testing.T) {
 	state := coldState(coldStart)
 	until := state.View().Backends["i-2"].ColdUntil
@@ -83,19 +83,17 @@
 	again.Revision, again.ColdRemaining = 7, 2*coldStart
 	setBackend(state, again, 7)
 	if got := state.View().Backends["i-2"].ColdUntil; got <= until.Add(coldStart) {
-		t.Error("a server that turned cold again is not")
+		t.Error("a server that became cold again counts as warm")
 	}
 	again.Revision, again.ColdRemaining = 8, 0
 	setBackend(state, again, 8)
 	if got := state.View().Backends["i-2"].ColdUntil; got != 0 {
-		t.Error("a server that says that it is warm is cold")
+		t.Error("a server that reports that it is warm counts as cold")
 	}
 }
 
-// Symptom: servers of a zone crash when the zone is taken back.
-// Events: they start again while the zone is evacuated; their entries tell it only
-// with the next heartbeat.
-// Cause: they were taken for warm until then.
+// Guards against crashes of servers in a zone that is taken back into use: they restarted
+// while the zone was evacuated, and their entries show it only with the next heartbeat.
 func TestReturnedZoneIsCold(t *testing.T) {
 	cold := newColdServers(coldSettings(), noPeers{})
 	state := coldState(0)
@@ -103,35 +101,34 @@
 	state.SetEvacuations(nil, knowledge.Position{Revision: 11}, boottime.Now())
 	view, now := state.View(), boottime.Now()
 	if !isCold(cold, view, "i-2", now) || isCold(cold, view, "i-1", now) {
-		t.Error("servers of the zone that was taken back are not cold, or others are")
+		t.Error("servers of the returned zone are not cold, or others are")
 	}
 	if isCold(cold, view, "i-2", now.Add(coldStart+time.Second)) {
 		t.Error("they stay cold")
 	}
 }
 
-// Symptom: a server that started again behind a cut crashes again.
-// Events: it loses the store and crashes; routers reach it; its entry says nothing new.
-// Cause: its new start showed in its connections and its answers only.
+// Guards against another crash of a server that restarted while it was cut off from the
+// store: only its connections and answers show the restart, not its entry.
 func TestServerMayBeColdAfterBrokenConnections(t *testing.T) {
 	cold := newColdServers(coldSettings(), noPeers{})
 	view, now := coldState(0).View(), boottime.Now()
-	cold.markCold("i-1", 0) // an answer that says nothing
+	cold.markCold("i-1", 0) // an answer without a cold time
 	if isCold(cold, view, "i-1", now) {
-		t.Error("cold without a reason")
+		t.Error("cold without any sign of it")
 	}
 	cold.assumeRestart(view, view.Backends["i-1"])
 	cold.assumeRestart(view, view.Backends["i-3"])
 	if !isCold(cold, view, "i-1", boottime.Now()) || isCold(cold, view, "i-3", boottime.Now()) {
-		t.Error("a server whose connections can't be opened")
+		t.Error("after failed connections a server is not cold, or one of a service without a rate for cold servers is")
 	}
 	cold.markCold("i-2", time.Second)
 	if !isCold(cold, view, "i-2", boottime.Now()) {
-		t.Error("a server that says in an answer that it is cold")
+		t.Error("a server that reports in an answer that it is cold counts as warm")
 	}
 }
 
-// setBackend takes the newest entry of one backend server.
+// setBackend applies a new entry of one backend server.
 func setBackend(state *knowledge.State, backend knowledge.Backend, revision uint64) {
 	backend.Position = knowledge.Position{Revision: revision}
 	state.ApplyBackendChanges([]knowledge.BackendChange{{ID: backend.ID, Entry: &backend}}, backend.Position)
--- a/internal/gate/config.go
+++ b/internal/gate/config.go
@@ -8,7 +8,7 @@
 	"github.com/bluebellchute/bluebellchute/internal/policy"
 )
 
-// Config is the configuration file of a gate.
+// Config is the configuration file of a router.
 type Config struct {
 	Node      NodeSection       `section:"node" doc:"This process and the VM that it runs on."`
 	Listen    ListenSection     `section:"listen" doc:"Addresses of this process."`
@@ -22,15 +22,16 @@
 	Log       daemon.LogSection `section:"log" doc:"Log records on standard output."`
 }
 
-// NodeSection tells a gate who and where it is.
+// NodeSection identifies the router and its VM.
 type NodeSection struct {
 	Name string     `key:"name" required:"true" doc:"Name of the VM."`
 	Zone fleet.Zone `key:"zone" required:"true" doc:"Availability zone."`
-	// NewFleet spares the store a list by each router, and costs some seconds.
+	// NewFleet skips the initial listing of the store by each router, and delays the start
+	// by some seconds.
 	NewFleet bool `key:"new_fleet" default:"false" doc:"The whole fleet starts for the first time, so that no callers are there yet."`
 }
 
-// ListenSection holds the addresses of a gate.
+// ListenSection holds the addresses on which a router listens.
 type ListenSection struct {
 	Callers       fleet.Address `key:"callers" required:"true" doc:"Callers' interface."`
 	Readiness     fleet.Address `key:"readiness" required:"true" doc:"Readiness for the balancer."`
@@ -39,30 +40,30 @@
 	Metrics       fleet.Address `key:"metrics" doc:"Metrics; nothing is served when empty."`
 }
 
-// StoreSection tells where the store is.
+// StoreSection holds the address of the store.
 type StoreSection struct {
 	Address fleet.Address `key:"address" required:"true" doc:"IP number and port of the store."`
 }
 
-// PeersSection names some routers for a start while the store is down.
+// PeersSection names other routers for a start while the store is down.
 type PeersSection struct {
 	Seeds []fleet.Address `key:"seeds" doc:"Ports for other routers, separated by commas; some may be gone."`
 }
 
-// VMSection tells what the VM gives to this process.
+// VMSection holds the resources that the VM gives to this process.
 type VMSection struct {
 	MemoryMB    int `key:"memory_mb" default:"128" min:"32" unit:"MB" doc:"Memory of the process; it is killed beyond."`
 	Descriptors int `key:"descriptors" default:"1024" min:"300" doc:"File descriptors of the process."`
 }
 
-// BoundsSection holds what the users have agreed on.
+// BoundsSection holds the bounds agreed with the users.
 type BoundsSection struct {
 	Grace    time.Duration `key:"grace" default:"8s" min:"1s" doc:"From the signal to stop until the process is killed."`
 	Revoke   time.Duration `key:"revoke" default:"5s" min:"500ms" doc:"From the withdrawal of a key until no request with it runs."`
 	Apply    time.Duration `key:"apply" default:"2s" min:"200ms" doc:"From the acceptance of a configuration until it is in force."`
 	Leave    time.Duration `key:"leave" default:"2s" min:"200ms" doc:"From a backend server's leaving until it gets no request."`
 	Evacuate time.Duration `key:"evacuate" default:"0s" min:"0s" doc:"From an order to evacuate an availability zone until its backend servers get no request; 0 where zones are not evacuated."`
-	// The bound for backend servers that have just started.
+	// Bounds for backend servers that have just started.
 	ColdOvershoot float64 `key:"cold_overshoot" default:"0" min:"0" doc:"How many times the rate that a cold backend server tolerates it may get from all routers; 0: no bound."`
 	ColdSlack     float64 `key:"cold_slack" default:"0" min:"0" doc:"Requests in a second beyond that."`
 
@@ -71,8 +72,8 @@
 	RetryWindow time.Duration `key:"retry_window" default:"10s" min:"100ms" doc:"Window of the two keys above."`
 }
 
-// AdmissionSection holds what is sent to model engines. The defaults serve;
-// other values are for experiments.
+// AdmissionSection holds the settings of admission control for model engines. The defaults
+// suit all deployments; other values are for experiments.
 type AdmissionSection struct {
 	BudgetShare float64 `key:"budget_share" default:"1" min:"0.01" max:"4" doc:"Part of a route's target latency within which an engine must have read the prompts ahead of a request and its own."`
 	SlotShare   float64 `key:"slot_share" default:"0.8" min:"0.05" max:"1" doc:"Part of an engine's slots that is used."`
@@ -100,60 +101,60 @@
 	RetrySpread      float64 `key:"retry_spread" default:"0" min:"0" max:"0.9" doc:"Part of that time by which it is shortened or lengthened, so that callers do not come back together; accounts that had least come first."`
 }
 
-// EnginesSection holds what is made of the differences between backend servers.
+// EnginesSection holds how differences between backend servers are taken into account.
 type EnginesSection struct {
 	Pace           bool    `key:"pace" default:"false" doc:"Go by the work time that backend servers report, and by what is seen of them, in place of one figure for all engines of a service."`
 	ProtectStreams float64 `key:"protect_streams" default:"0" min:"0" max:"1" doc:"Part of a service's shortest target gap for which an engine that reports its work time may read prompts beside streams in progress; 0: not bounded."`
 	OwnZoneFirst   bool    `key:"own_zone_first" default:"false" doc:"Give prompt parts that are cheap to read, or asked for often, homes in the router's own availability zone."`
 }
 
-// PlainSection holds what is sent to plain services.
+// PlainSection holds the settings of plain services.
 type PlainSection struct {
 	Admission bool `key:"admission" default:"false" doc:"Refuse requests that would wait too long at plain backend servers."`
 }
 
 const (
-	// bodyMemoryShare is the part of the memory that requests' bodies may
-	// fill. The rest is for connections, answers and the runtime.
+	// bodyMemoryShare is the fraction of the memory that request bodies may fill. The rest
+	// is for connections, answers and the runtime.
 	bodyMemoryShare = 0.25
-	// descriptorShare is the part of the descriptors, after those kept for
-	// files, that callers' connections may take. The rest goes to backend
-	// servers.
+	// descriptorShare is the fraction of the descriptors, without the reserved ones, that
+	// callers' connections may use. The rest is for connections to backend servers.
 	descriptorShare = 0.55
-	// connectionMemory is what a caller's connection takes: its buffers, its
-	// stack and the bytes that wait in it.
+	// connectionMemory is the memory of a caller's connection: buffers, stack and unread
+	// bytes.
 	connectionMemory = 24 << 10
-	// connectionMemoryShare is the part of the memory that they may take.
+	// connectionMemoryShare is the fraction of the memory that callers' connections may
+	// use.
 	connectionMemoryShare = 0.3
-	// reservedDescriptors is the part of the descriptors that files need.
+	// reservedDescriptors is the number of descriptors reserved for files.
 	reservedDescriptors = 200
-	// heapShare is the part of the memory that the Go runtime may use before
-	// it collects more eagerly.
+	// heapShare is the fraction of the memory beyond which the Go runtime collects garbage
+	// more often.
 	heapShare = 0.75
-	// keyMaxAgeShare is the part of the bound for withdrawn keys at which requests
-	// with keys are refused: the users count no request beyond 0.6 of it.
+	// keyMaxAgeShare is the fraction of the bound for withdrawn keys after which requests
+	// with keys are refused. The users count no request beyond 0.6 of that bound.
 	keyMaxAgeShare = 0.8
-	// denialMaxAgeShare is the part of the bound for configurations from which an
-	// unknown route is not denied for good.
+	// denialMaxAgeShare is the fraction of the bound for configurations up to which an
+	// unknown route is denied permanently.
 	denialMaxAgeShare = 0.9
-	// bytesPerMB converts the settings' unit.
-	bytesPerMB = 1 << 20
+	bytesPerMB        = 1 << 20
 )
 
-// ShortestBound returns the shortest bound for a change to be in force.
+// ShortestBound returns the shortest time within which a change must be in force.
 func (s BoundsSection) ShortestBound() time.Duration { return min(s.Apply, s.Leave) }
 
-// MaxConnections returns the most callers' connections at once.
+// MaxConnections returns the maximum number of concurrent caller connections.
 func (s VMSection) MaxConnections() int {
 	byDescriptors := float64(s.Descriptors-reservedDescriptors) * descriptorShare
 	byMemory := float64(s.MemoryMB*bytesPerMB) * connectionMemoryShare / connectionMemory
 	return max(int(min(byDescriptors, byMemory)), 16)
 }
 
-// HeapLimit returns the bytes at which the Go runtime collects more eagerly.
+// HeapLimit returns the heap size in bytes beyond which the Go runtime collects garbage
+// more often.
 func (s VMSection) HeapLimit() int64 { return int64(float64(s.MemoryMB*bytesPerMB) * heapShare) }
 
-// Settings returns what the gate decides by.
+// Settings returns the settings for the router's decisions.
 func (c *Config) Settings() Settings {
 	admission := c.Admission.Policy()
 	admission.GapShare = c.Engines.ProtectStreams
@@ -177,7 +178,7 @@
 	}
 }
 
-// Policy returns what the section says of what is sent to model engines.
+// Policy returns the section as settings of admission control.
 func (s AdmissionSection) Policy() policy.Settings {
 	return policy.Settings{
 		BudgetShare: s.BudgetShare,
--- a/internal/gate/decisions_test.go
+++ b/internal/gate/decisions_test.go
@@ -11,7 +11,7 @@
 	"github.com/bluebellchute/bluebellchute/internal/pace"
 )
 
-// routers is a fleet of so many routers.
+// routers is a fleet with this number of routers.
 type routers int
 
 func (routers) Load(uint32) BackendLoad                            { return BackendLoad{} }
@@ -37,9 +37,8 @@
 	return state.View()
 }
 
-// Symptom: a withdrawn key is taken, or a new route is denied for good.
-// Events: the store does not reach the router; the configuration changes.
-// Cause: the router went by what it knew, however old.
+// Guards against accepting a withdrawn key, or denying a new route permanently, when the
+// configuration changes while the router is cut off from the store.
 func TestStaleConfigurationDeniesNothingAndAcceptsNoKey(t *testing.T) {
 	fresh := Freshness{KeyMaxAge: 4 * time.Second, DenialMaxAge: 1800 * time.Millisecond}
 	for _, test := range []struct {
@@ -73,13 +72,12 @@
 func TestNoStateReceived(t *testing.T) {
 	refusal := identify(&Request{Host: "h", Path: "/a/x"}, knowledge.NewState().View(), Freshness{}, 0)
 	if refusal == nil || refusal.Status != http.StatusServiceUnavailable || refusal.RetryAfter == 0 {
-		t.Errorf("%+v, want 503 with a time", refusal)
+		t.Errorf("%+v, want 503 with a retry delay", refusal)
 	}
 }
 
-// Symptom: a service in trouble gets more second sends than agreed.
-// Events: all backend servers of a service fail.
-// Cause: each router used the whole fleet's budget.
+// Guards against more retries than agreed when all backend servers of a service fail and
+// each router uses the budget of the whole fleet.
 func TestBudgetIsSharedByTheRouters(t *testing.T) {
 	settings := newCurrentSettings(Settings{Budget: RetryBudgetSettings{Ratio: 0.2, Extra: 50, Window: 10 * time.Second}})
 	const fleetSize = 5
@@ -94,10 +92,10 @@
 		}
 	}
 	if most := 50 + 0.2*100*fleetSize; float64(total) > most {
-		t.Errorf("%d second sends, agreed are %v", total, most)
+		t.Errorf("%d retries, at most %v are agreed", total, most)
 	}
 	if total == 0 {
-		t.Error("there were none at all")
+		t.Error("no retries at all")
 	}
 }
 
@@ -106,14 +104,14 @@
 	suspects.crashReported("10.0.0.1:1", 7)
 	suspects.crashReported("10.0.0.1:1", 7)
 	if suspects.refused(7) {
-		t.Error("one break, told twice, counts as two")
+		t.Error("one crash that is reported twice counts as two")
 	}
 	suspects.crashed(7)
 	if !suspects.refused(7) {
-		t.Error("two breaks at two routers do not count")
+		t.Error("two crashes at two routers do not count")
 	}
 	if got := suspects.takeUnreported(); len(got) != 1 || got[0] != 7 {
-		t.Errorf("to be told: %v", got)
+		t.Errorf("to be reported: %v", got)
 	}
 }
 
@@ -123,7 +121,7 @@
 		suspects.crashed(print)
 	}
 	if got := len(suspects.known); got > maxSuspects {
-		t.Errorf("%d are remembered", got)
+		t.Errorf("%d fingerprints are stored", got)
 	}
 }
 
@@ -137,16 +135,15 @@
 		loads.recordReading("s", tokens, time.Duration(tokens/real*float64(time.Second)))
 	}
 	if got := loads.rate("s", assumed); got < 0.85*real || got > real {
-		t.Errorf("%v prompt tokens a second, they were %v", got, real)
+		t.Errorf("%v prompt tokens per second, want %v", got, real)
 	}
 	if got := loads.rate("other", assumed); got != assumed {
 		t.Errorf("%v without an observation, want %v", got, assumed)
 	}
 }
 
-// Symptom: a backend server that fails gets its share of requests.
-// Events: it answers with errors while its health check is good.
-// Cause: answers were not looked at.
+// Guards against sending requests to a backend server that answers with errors while its
+// health check passes.
 func TestFailingBackendIsEjectedForATime(t *testing.T) {
 	loads := newLoads()
 	now := boottime.Now()
@@ -154,10 +151,10 @@
 		loads.recordAnswer("i", false, 0)
 	}
 	if !loads.ejectedAt(now)["i"] {
-		t.Error("it is not shunned")
+		t.Error("not ejected")
 	}
 	if loads.ejectedAt(now.Add(2 * ejectionTime))["i"] {
-		t.Error("it is never tried again")
+		t.Error("never tried again")
 	}
 	for i := range 50 {
 		loads.recordAnswer("j", i%7 != 0, time.Millisecond)
@@ -180,14 +177,14 @@
 	}
 	loads.prune(map[string]*knowledge.Backend{})
 	if got := len(loads.snapshot()); got != 0 {
-		t.Errorf("%d are told to others", got)
+		t.Errorf("%d are reported to others", got)
 	}
 }
 
 func TestPromptSegments(t *testing.T) {
 	prompt := Prompt{Tokens: 1460, MaxOutput: 80, ExpectedOutput: 50, Segments: []PromptSegment{{"a", 800}, {"b", 410}, {"c", 250}}}
 	if got := prompt.SharedSegment(); got != "b" {
-		t.Errorf("shared part %q", got)
+		t.Errorf("shared segment %q", got)
 	}
 	if got := prompt.SharedTokens(); got != 1210 {
 		t.Errorf("%d shared tokens", got)
@@ -196,10 +193,10 @@
 		t.Errorf("cost %v", got)
 	}
 	if got := (Prompt{Tokens: 5, Segments: []PromptSegment{{"a", 5}}}).SharedSegment(); got != "a" {
-		t.Errorf("shared part %q of one", got)
+		t.Errorf("shared segment %q of one", got)
 	}
 	if (Prompt{}).SharedSegment() != "" || (Prompt{}).SharedTokens() != 0 {
-		t.Error("an empty prompt has shared parts")
+		t.Error("an empty prompt has shared segments")
 	}
 }
 
--- a/internal/gate/fetchsource.go
+++ b/internal/gate/fetchsource.go
@@ -8,25 +8,25 @@
 	"github.com/bluebellchute/bluebellchute/internal/knowledge"
 )
 
-// The load that this file answers: engines come, go, or get nothing more, so the homes
-// of many prompt parts change at one moment. Every new home would read its parts anew,
-// in just those seconds in which the engines have the least time for it.
-
+// When engines start, drain or are evacuated, the preferred engines of many prompt segments
+// change at the same time. Without a fetch, each newly preferred engine would read its
+// segments again just when the engines have the least spare capacity.
 const (
-	// recentStartPeriod is how long an engine counts as one that has hardly read any of the
-	// parts whose home it is: some times the pause after which a part comes again.
+	// recentStartPeriod is how long an engine counts as recently started: it has hardly
+	// read any of the segments that prefer it yet. It is some times the usual pause between
+	// two requests for a segment.
 	recentStartPeriod = 10 * time.Second
-	// maxFetchCandidates is how many engines of a part's order are looked at for one that keeps
-	// it. The first may be the chosen one, or too young, and so on.
+	// maxFetchCandidates is how many engines in the segment's order are considered as a
+	// fetch source. The first ones may be the chosen one, or recently started.
 	maxFetchCandidates = 4
-	// fetchShare is the part of the bound for evacuations in which parts are still
-	// fetched from an evacuated zone. A fetch puts some load on its engines, and after
-	// the bound nothing may.
+	// fetchShare is the fraction of the bound for evacuations within which segments are
+	// still fetched from an evacuated zone. A fetch puts some load on its engines, which
+	// must get none after the bound.
 	fetchShare = 0.5
 )
 
-// cacheHolder returns the engine that is known to keep the prompt part, nil if none is known
-// that may be asked for it.
+// cacheHolder returns the engine that is known to cache the segment, nil if there is none
+// from which it may be fetched.
 func (a *admission) cacheHolder(segment string, view *knowledge.View, now boottime.Instant) *knowledge.Backend {
 	holder := a.segments.cacheHolder(segment, view)
 	if holder == nil || !a.mayFetchFrom(holder, view, now) {
@@ -35,7 +35,7 @@
 	return holder
 }
 
-// mayFetchFrom tells whether parts may be fetched from the engine.
+// mayFetchFrom reports whether segments may be fetched from the engine.
 func (a *admission) mayFetchFrom(engine *knowledge.Backend, view *knowledge.View, now boottime.Instant) bool {
 	if !view.Evacuations.Has(engine.Zone) {
 		return true
@@ -44,29 +44,29 @@
 	return now.Sub(view.Evacuations.ObservedAt[engine.Zone]) < maxAge
 }
 
-// fetchSource returns the address of the engine that probably keeps more of the prompt than
-// the chosen one, or "".
+// fetchSource returns the address of the engine that probably caches more of the prompt
+// than the chosen one, "" for none.
 func (a *admission) fetchSource(search *modelSearch, chosen *knowledge.Backend, now boottime.Instant) fleet.Address {
-	keeper := search.cacheHolder
-	if keeper == chosen {
+	source := search.cacheHolder
+	if source == chosen {
 		return ""
 	}
-	if keeper == nil {
-		keeper = a.previousEngine(search, chosen, now)
+	if source == nil {
+		source = a.previousEngine(search, chosen, now)
 	}
-	if keeper == nil {
-		keeper = firstSegmentEngine(search, chosen)
+	if source == nil {
+		source = firstSegmentEngine(search, chosen)
 	}
-	if keeper == nil {
+	if source == nil {
 		return ""
 	}
-	return keeper.Address
+	return source.Address
 }
 
-// previousEngine returns the engine that probably read the shared parts before the chosen
-// one, nil if that is probably the chosen one itself. It comes first in the part's
-// order but for engines that are too young to have read it; those that get nothing any
-// more, as they leave or are evacuated, still keep what they have read.
+// previousEngine returns the engine that probably read the shared segments before the
+// chosen one, nil if that is probably the chosen one itself. It is the first in the
+// segment's order that has not started recently. Engines that get no requests because they
+// drain or are evacuated still cache what they have read.
 func (a *admission) previousEngine(search *modelSearch, chosen *knowledge.Backend, now boottime.Instant) *knowledge.Backend {
 	engines := search.view.ByService[search.request.Service]
 	for _, place := range search.ranking.rank(engines, search.segment, maxFetchCandidates) {
@@ -83,15 +83,16 @@
 	return nil
 }
 
-// recentlyStarted tells whether the engine has hardly read any of its parts yet: it has just
-// appeared, or its zone was just taken back and it may have started again meanwhile.
+// recentlyStarted reports whether the engine has hardly read any of its segments yet: it
+// has just appeared, or its zone has just been taken back into use and it may have
+// restarted during the evacuation.
 func recentlyStarted(engine *knowledge.Backend, view *knowledge.View, now boottime.Instant) bool {
 	since := max(engine.FirstSeen, view.Evacuations.ReturnedAt[engine.Zone])
 	return since != 0 && now.Sub(since) < recentStartPeriod
 }
 
-// firstSegmentEngine returns the engine that keeps the first part of the prompt before any other
-// does, nil if that is the chosen one or the prompt has no such part.
+// firstSegmentEngine returns the preferred engine of the prompt's first segment, nil if
+// that is the chosen one or if the prompt has fewer than three segments.
 func firstSegmentEngine(search *modelSearch, chosen *knowledge.Backend) *knowledge.Backend {
 	segments := search.request.Prompt.Segments
 	serving := search.serving()
--- a/internal/gate/fetchsource_test.go
+++ b/internal/gate/fetchsource_test.go
@@ -12,7 +12,7 @@
 	"github.com/bluebellchute/bluebellchute/internal/selection"
 )
 
-// segmentFleet is a fleet of engines in the order of a part's key, the home first.
+// segmentFleet is a fleet of engines, listed in the order of a segment's preference.
 type segmentFleet struct {
 	state   *knowledge.State
 	a       *admission
@@ -20,12 +20,14 @@
 	ids     []string
 }
 
-// entryOf is the entry of an engine. Each has an availability zone of its own name.
+// entryOf returns the entry of an engine. Each engine is in an availability zone of its own
+// name.
 func entryOf(id string) knowledge.Backend {
 	return knowledge.Backend{ID: id, Service: "s", Address: fleet.Address(id + ":1"), Slots: 64, Zone: fleet.Zone(id)}
 }
 
-// newSegmentFleet lists engines; the part of its request prefers them in the order of ids.
+// newSegmentFleet returns a fleet with a request whose segment prefers the engines in the
+// order of ids.
 func newSegmentFleet() *segmentFleet {
 	request := &Request{Service: "s", Prompt: Prompt{Tokens: 3000, Segments: []PromptSegment{{"shared", 2000}, {"own", 1000}}}}
 	ids := []string{"i-1", "i-2", "i-3", "i-4", "i-5"}
@@ -45,7 +47,7 @@
 	return f
 }
 
-// list makes the engines with the places in the part's order the whole list.
+// list makes the engines at these positions the complete list of backend servers.
 func (f *segmentFleet) list(places ...int) {
 	var backends []knowledge.Backend
 	for _, place := range places {
@@ -54,8 +56,8 @@
 	f.state.SetBackends(backends, knowledge.Position{Revision: f.state.View().Position.Revision + 1}, boottime.Now())
 }
 
-// fetchSource returns the place of the engine that the one with the place fetches from, -1
-// for none.
+// fetchSource returns the position of the engine from which the engine at the given
+// position fetches, -1 for none.
 func (f *segmentFleet) fetchSource(place int, at boottime.Instant) int {
 	view := f.state.View()
 	search := &modelSearch{request: f.request, view: view, segment: f.request.Prompt.SharedSegment()}
@@ -67,35 +69,33 @@
 	f := newSegmentFleet()
 	f.list(0, 1, 2)
 	if got := f.fetchSource(0, boottime.Now()); got != -1 {
-		t.Errorf("the home fetches from engine %d", got)
+		t.Errorf("the preferred engine fetches from engine %d", got)
 	}
 	if got := f.fetchSource(1, boottime.Now()); got != 0 {
-		t.Errorf("the second fetches from engine %d, want the home", got)
+		t.Errorf("the second engine fetches from engine %d, want the preferred one", got)
 	}
 }
 
-// Symptom: shared parts are read again at the moment when engines are added.
-// Events: an engine appears and is the home of many parts from now on.
-// Cause: a home was taken for one that keeps its parts.
+// Guards against reading shared segments again when engines are added: a new engine becomes
+// the preferred one of many segments that it has not read yet.
 func TestNewPreferredEngineFetchesFromThePreviousOne(t *testing.T) {
 	f := newSegmentFleet()
 	f.list(1, 2)
 	f.list(0, 1, 2)
 	now := boottime.Now()
 	if got := f.fetchSource(0, now); got != 1 {
-		t.Errorf("the new home fetches from engine %d, want the former one", got)
+		t.Errorf("the new preferred engine fetches from engine %d, want the previous one", got)
 	}
 	if got := f.fetchSource(2, now); got != 1 {
-		t.Errorf("another one fetches from engine %d, want the former home", got)
+		t.Errorf("another engine fetches from engine %d, want the previous preferred one", got)
 	}
 	if got := f.fetchSource(0, now.Add(recentStartPeriod+time.Second)); got != -1 {
-		t.Errorf("a home that is no longer new fetches from engine %d", got)
+		t.Errorf("a preferred engine that is no longer new fetches from engine %d", got)
 	}
 }
 
-// Symptom: shared parts are read again when an engine leaves or its zone is evacuated.
-// Events: the home gets nothing any more; the next engine gets its requests.
-// Cause: only engines that take requests were asked for parts.
+// Guards against reading shared segments again when an engine drains or its zone is
+// evacuated: engines that get no requests any more are valid fetch sources.
 func TestSegmentsAreFetchedFromADrainingEngine(t *testing.T) {
 	f := newSegmentFleet()
 	f.list(0, 1, 2)
@@ -103,19 +103,19 @@
 	draining.Draining = true
 	setBackend(f.state, draining, 50)
 	if got := f.fetchSource(1, boottime.Now()); got != 0 {
-		t.Errorf("fetched from engine %d, want the one that leaves", got)
+		t.Errorf("fetched from engine %d, want the draining one", got)
 	}
 	setBackend(f.state, entryOf(f.ids[0]), 51)
 	f.state.SetEvacuations([]fleet.Zone{fleet.Zone(f.ids[0])}, knowledge.Position{Revision: 52}, boottime.Now())
 	if got := f.fetchSource(1, boottime.Now()); got != 0 {
-		t.Errorf("fetched from engine %d, want the one that is evacuated", got)
+		t.Errorf("fetched from engine %d, want the evacuated one", got)
 	}
 	if got := f.fetchSource(1, boottime.Now().Add(3*time.Second)); got == 0 {
 		t.Error("fetched from an evacuated zone near the bound")
 	}
 }
 
-// Engines of a zone that was taken back have probably started again and keep nothing.
+// Engines of a zone that was taken back into use have probably restarted and cache nothing.
 func TestEnginesOfAReturnedZoneFetch(t *testing.T) {
 	f := newSegmentFleet()
 	f.list(0, 1, 2)
--- a/internal/gate/identify.go
+++ b/internal/gate/identify.go
@@ -9,32 +9,32 @@
 	"github.com/bluebellchute/bluebellchute/internal/policy"
 )
 
-// Refusal is the answer to a request that was sent to no backend server, or
-// that ended without a usable answer.
+// Refusal is the answer to a request that was sent to no backend server, or that ended
+// without a usable answer.
 type Refusal struct {
 	Status     int
 	Reason     Reason
 	RetryAfter time.Duration // 0 for none
-	Inputs     Inputs        // zero where none decided
+	Inputs     Inputs        // zero if the request got no placement decision
 }
 
-// Inputs are what decided on the place of a request, for the records.
+// Inputs are the values behind a placement decision, for the request log.
 type Inputs struct {
-	Tier      policy.Tier   // by what right it took or was refused capacity
-	Backend   string        // the best choice, "" if none was looked at
-	ShareUsed float64       // of the account, in parts of its share
+	Tier      policy.Tier   // of the request
+	Backend   string        // the best choice, "" if none was considered
+	ShareUsed float64       // by the account, as a multiple of its share
 	Ahead     time.Duration // until the engine has read the prompts ahead
-	Budget    time.Duration // for that, or for the wait at a plain server
-	Shared    bool          // the engine is the one that its shared parts prefer
-	Prefill   time.Duration // to read the prompts ahead and its own, at the speed of the moment
-	Gap       time.Duration // for that beside streams in progress, 0 for no bound
-	Disrupts  bool          // streams in progress would pause for longer
-	Moved     bool          // another engine was chosen for the sake of streams at its homes
+	Budget    time.Duration // for Ahead, or for Wait at a plain server
+	Shared    bool          // the engine is the preferred one of its shared segments
+	Prefill   time.Duration // to read the prompts ahead and its own, at the engine's current speed
+	Gap       time.Duration // maximum of Prefill beside streams in progress, 0 for none
+	Disrupts  bool          // streams in progress would pause for longer than Gap
+	Moved     bool          // another engine was chosen because of streams at the preferred ones
 	Plain     bool          // the request is for a plain service
 	Wait      time.Duration // expected at the plain server
 }
 
-// Reason names why a request was refused. Logs and metrics carry it.
+// Reason is why a request was refused. Logs and metrics contain it.
 type Reason string
 
 // The reasons of refusals.
@@ -50,9 +50,9 @@
 	ReasonOverShare          Reason = "over-share"
 	ReasonDisruptive         Reason = "disruptive" // streams in progress would pause for too long
 	ReasonNoBackend          Reason = "no-backend"
-	ReasonClosed             Reason = "closed"     // all that are left want nothing for a time
-	ReasonEvacuated          Reason = "evacuated"  // all zones with backend servers of the service are
-	ReasonWarming            Reason = "warming-up" // all that are left have just started and get little
+	ReasonClosed             Reason = "closed"     // all remaining backend servers are temporarily unavailable
+	ReasonEvacuated          Reason = "evacuated"  // all zones with backend servers of the service are evacuated
+	ReasonWarming            Reason = "warming-up" // all remaining backend servers have just started and get few requests
 	ReasonDeclined           Reason = "declined"
 	ReasonBroken             Reason = "broken"
 	ReasonBadAnswer          Reason = "bad-answer"
@@ -62,25 +62,24 @@
 	ReasonMemory             Reason = "memory"
 	ReasonOverloaded         Reason = "router-overloaded"
 	ReasonTooLate            Reason = "too-late"
-	ReasonDraining           Reason = "draining" // the process ends before the request might
+	ReasonDraining           Reason = "draining" // the process would stop before the request ends
 )
 
-// Freshness bounds how old knowledge may be.
+// Freshness bounds the age of the configuration for some decisions.
 type Freshness struct {
-	// KeyMaxAge is the greatest age of a configuration by which a request with a
-	// key is taken.
+	// KeyMaxAge is the maximum age of a configuration for accepting a request with a key.
 	KeyMaxAge time.Duration
-	// DenialMaxAge is the greatest age of a configuration by which an unknown route
-	// or key is told so for good.
+	// DenialMaxAge is the maximum age of a configuration for denying an unknown route or
+	// key permanently.
 	DenialMaxAge time.Duration
 }
 
-// startRetryAfter is the time to come back that a router tells while it does not
-// know enough: as long as a first answer of the store takes, and some more.
+// startRetryAfter is the Retry-After time of a router that has not received enough state
+// yet. It is somewhat longer than the first answer of the store takes.
 const startRetryAfter = 300 * time.Millisecond
 
-// identify finds the route, the account and the service of a request, or the
-// refusal. point in [0, 1) chooses among the services of a split route.
+// identify finds the route, the account and the service of a request, or returns a refusal.
+// draw is a number in [0, 1) that selects one of the services of a split route.
 func identify(request *Request, view *knowledge.View, fresh Freshness, draw float64) *Refusal {
 	if !view.Ready() {
 		return &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonNoKnowledge, RetryAfter: startRetryAfter}
@@ -95,8 +94,8 @@
 		if request.Account == nil {
 			return refuseUnknown(http.StatusUnauthorized, ReasonUnknownKey, age, fresh)
 		}
-		// The key may have been withdrawn since. Nothing shows that to a
-		// router that the store does not reach but the age of what it knows.
+		// The key may have been withdrawn since. A router that is cut off from the store
+		// can tell only by the age of its configuration.
 		if age > fresh.KeyMaxAge {
 			return &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonStaleConfiguration, RetryAfter: startRetryAfter}
 		}
@@ -110,8 +109,8 @@
 	return nil
 }
 
-// refuseUnknown returns the refusal of a request whose route or key is unknown. A
-// router that may have missed a configuration does not deny for good.
+// refuseUnknown refuses a request whose route or key is unknown. A router that may have
+// missed a configuration does not deny it permanently.
 func refuseUnknown(status int, reason Reason, age time.Duration, fresh Freshness) *Refusal {
 	if age > fresh.DenialMaxAge {
 		return &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonStaleConfiguration, RetryAfter: startRetryAfter}
@@ -119,7 +118,7 @@
 	return &Refusal{Status: status, Reason: reason}
 }
 
-// requestTimeout returns the time within which the request gets its final answer.
+// requestTimeout returns the time within which the request must get its final answer.
 func requestTimeout(request *Request) time.Duration {
 	timeout := request.Route.Timeout
 	if request.Deadline > 0 && (timeout == 0 || request.Deadline < timeout) {
--- a/internal/gate/loads.go
+++ b/internal/gate/loads.go
@@ -12,11 +12,11 @@
 	"github.com/bluebellchute/bluebellchute/internal/slowstart"
 )
 
-// BackendLoad is what a router has at one backend server.
+// BackendLoad is the load that a router's requests put on one backend server.
 type BackendLoad struct {
 	Running int
-	Pending float64 // prompt tokens whose first event has not come
-	Memory  float64 // tokens that the running requests hold or will hold
+	Pending float64 // prompt tokens of requests whose first event has not arrived
+	Memory  float64 // tokens in the engine's memory that the running requests take or will take
 }
 
 // Add returns the sum of two loads.
@@ -28,66 +28,63 @@
 	}
 }
 
-// Peers tells what the other routers have at backend servers and how many
-// routers there are.
+// Peers provides the state of the other routers.
 type Peers interface {
-	// Load returns the sum over all other routers that are heard, for an
-	// incarnation of a backend server by its hash.
+	// Load returns the total load of all other reachable routers at an incarnation of a
+	// backend server, given by its hash.
 	Load(incarnation uint32) BackendLoad
-	// Routers returns the number of routers that take requests, this one
-	// included.
+	// Routers returns the number of routers that accept requests, including this one.
 	Routers() int
-	// Paces returns what all other routers that are heard know of how fast backend
-	// servers work, as of the moment, by the hashes of their incarnations. It is nil if
-	// they know nothing.
+	// Paces returns what all other reachable routers have observed of the speed of backend
+	// servers, as of the given time, by incarnation hash. It is nil if they have observed
+	// nothing.
 	Paces(now boottime.Instant) map[uint32]pace.Observation
-	// Fleet tells a router's part of what cold backend servers may get.
+	// Fleet provides a router's share of the requests that cold backend servers may get.
 	slowstart.Fleet
-	// StoreContact returns when the store last answered another router, 0 if it
-	// answers none at present.
+	// StoreContact returns when the store last answered another router, 0 if it answers
+	// none at present.
 	StoreContact() boottime.Instant
-	// WatchesStore tells whether this router follows the store itself. The others
-	// hear from those that do.
+	// WatchesStore reports whether this router watches the store itself. The other routers
+	// receive changes from those that do.
 	WatchesStore() bool
 }
 
 const (
-	// failureWeight is the weight of the newest answer in the share of
-	// failures of a backend server.
+	// failureWeight is the weight of the newest answer in the failure rate of a backend
+	// server.
 	failureWeight = 0.2
-	// ejectionFailureRate is the share of failures from which a backend server gets no
-	// requests for a while. Plain services fail up to a seventh of their
-	// requests by their nature.
+	// ejectionFailureRate is the failure rate at which a backend server is ejected. Plain
+	// services fail up to a seventh of their requests in normal operation.
 	ejectionFailureRate = 0.6
-	// ejectionTime is how long that lasts. One request tries it then.
+	// ejectionTime is how long a failing backend server gets no requests.
 	ejectionTime = 1500 * time.Millisecond
-	// connectEjectionTime is how long a backend server gets no requests whose
-	// connection could not be opened.
+	// connectEjectionTime is how long a backend server gets no requests after a connection
+	// could not be opened.
 	connectEjectionTime = 800 * time.Millisecond
 	// latencyWeight is the weight of the newest latency in the average.
 	latencyWeight = 0.1
-	// unusedStateTTL is how long a backend server that is no longer listed is
-	// remembered, so that requests still running there are counted down.
+	// unusedStateTTL is how long the state of an unlisted backend server is kept after its
+	// last use, so that requests still running there are subtracted.
 	unusedStateTTL = time.Minute
 )
 
-// backendState is what a router has seen of one backend server.
+// backendState is what a router has observed of one backend server.
 type backendState struct {
 	load     BackendLoad
-	failures float64 // share of recent requests that failed, decayed
+	failures float64 // fraction of recent requests that failed, decayed
 	latency  float64 // seconds, decayed average
 	lastUsed boottime.Instant
 }
 
-// engineModel is what a router has learned of the engines of one service.
+// engineModel is what a router has learned about the engines of one service.
 type engineModel struct {
 	rate     policy.ReadRate
 	headroom policy.Headroom
 }
 
-// loads is the table of backend servers by their incarnations: one that starts
-// again under its id holds nothing of what the one before held, and what failed
-// there says nothing of it. Its methods may be called concurrently.
+// loads is the table of backend servers by incarnation: a server that restarts under its id
+// has none of the requests of its former incarnation, and failures of that one say nothing
+// about it. Its methods may be called concurrently.
 type loads struct {
 	mu       sync.Mutex
 	backends map[string]*backendState
@@ -103,41 +100,41 @@
 	}
 }
 
-func (l *loads) state(id string) *backendState {
-	state := l.backends[id]
+func (l *loads) state(incarnation string) *backendState {
+	state := l.backends[incarnation]
 	if state == nil {
 		state = &backendState{}
-		l.backends[id] = state
+		l.backends[incarnation] = state
 	}
 	return state
 }
 
-// begin counts a request in at a backend server.
-func (l *loads) begin(id string, load BackendLoad) {
+// begin adds a request to the load of a backend server.
+func (l *loads) begin(incarnation string, load BackendLoad) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	state := l.state(id)
+	state := l.state(incarnation)
 	state.load = state.load.Add(load)
 	state.lastUsed = boottime.Now()
 }
 
-// removePending counts the first event of a request: its prompt of so many tokens has been
-// read.
-func (l *loads) removePending(id string, tokens float64) {
+// removePending removes the prompt tokens of a request whose first event has arrived: its
+// prompt has been read.
+func (l *loads) removePending(incarnation string, tokens float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.state(id).load.Pending -= tokens
+	l.state(incarnation).load.Pending -= tokens
 }
 
-// recordReading notes how long an engine of the service took to read the tokens that were
-// waiting when a request was sent, its own included.
+// recordReading records how long an engine of the service took to read the tokens that were
+// pending when a request was sent, including the request's own.
 func (l *loads) recordReading(service fleet.Service, pending float64, took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.model(service).rate.Observe(pending, took)
 }
 
-// model returns what was learned of the service's engines.
+// model returns what was learned about the service's engines.
 func (l *loads) model(service fleet.Service) *engineModel {
 	model := l.models[service]
 	if model == nil {
@@ -147,14 +144,14 @@
 	return model
 }
 
-// recordLateness notes whether an answer of the service was late.
+// recordLateness records whether an answer of the service was late.
 func (l *loads) recordLateness(service fleet.Service, late bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.model(service).headroom.Observe(late)
 }
 
-// headroom returns the part of the budgets that is used at the service.
+// headroom returns the fraction of the budgets that is used at the service.
 func (l *loads) headroom(service fleet.Service, floor float64) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -172,37 +169,37 @@
 	return headrooms
 }
 
-// rate returns how many prompt tokens an engine of the service reads in a
-// second, as observed; assumed is the figure before any observation.
+// rate returns how many prompt tokens per second an engine of the service reads, as
+// observed; assumed is the rate before any observation.
 func (l *loads) rate(service fleet.Service, assumed float64) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.model(service).rate.Estimate(assumed)
 }
 
-// observedRate returns how many prompt tokens an engine of the service reads in a second,
-// and over how many seconds of reading that was seen. Nothing is assumed.
+// observedRate returns how many prompt tokens per second an engine of the service reads,
+// and the seconds of reading behind this rate. Both are 0 before any observation.
 func (l *loads) observedRate(service fleet.Service) (rate, seconds float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.model(service).rate.Observed()
 }
 
-// end counts a request out at a backend server.
-func (l *loads) end(id string, load BackendLoad) {
+// end subtracts a request from the load of a backend server.
+func (l *loads) end(incarnation string, load BackendLoad) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	state := l.state(id)
+	state := l.state(incarnation)
 	state.load.Running -= load.Running
 	state.load.Pending -= load.Pending
 	state.load.Memory -= load.Memory
 }
 
-// recordAnswer notes an answer and how long it took.
-func (l *loads) recordAnswer(id string, success bool, took time.Duration) {
+// recordAnswer records an answer and its latency.
+func (l *loads) recordAnswer(incarnation string, success bool, took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	state := l.state(id)
+	state := l.state(incarnation)
 	failure := 0.0
 	if !success {
 		failure = 1
@@ -215,22 +212,22 @@
 		state.latency += (took.Seconds() - state.latency) * latencyWeight
 	}
 	if state.failures > ejectionFailureRate {
-		// Half of the memory goes, so that one good answer after the pause
-		// clears the backend server and one bad one shuns it again.
+		// The rate is lowered, so that one good answer after the pause clears the backend
+		// server and one bad answer ejects it again.
 		state.failures = ejectionFailureRate * (1 - failureWeight)
-		l.ejected[id] = boottime.Now().Add(ejectionTime)
+		l.ejected[incarnation] = boottime.Now().Add(ejectionTime)
 	}
 }
 
-// recordConnectionFailure notes that no connection to the backend server could be opened or
-// that one broke.
-func (l *loads) recordConnectionFailure(id string) {
+// recordConnectionFailure records that a connection to the backend server could not be
+// opened, or that another server has its address.
+func (l *loads) recordConnectionFailure(incarnation string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ejected[id] = boottime.Now().Add(connectEjectionTime)
+	l.ejected[incarnation] = boottime.Now().Add(connectEjectionTime)
 }
 
-// ejectedAt returns the backend servers that get no requests at present.
+// ejectedAt returns the backend servers that get no requests at the given time.
 func (l *loads) ejectedAt(now boottime.Instant) map[string]bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -238,41 +235,41 @@
 		return nil
 	}
 	shunned := make(map[string]bool, len(l.ejected))
-	for id, until := range l.ejected {
+	for incarnation, until := range l.ejected {
 		if now >= until {
-			delete(l.ejected, id)
+			delete(l.ejected, incarnation)
 			continue
 		}
-		shunned[id] = true
+		shunned[incarnation] = true
 	}
 	return shunned
 }
 
-// get returns the router's own load at a backend server and its latency.
-func (l *loads) get(id string) (BackendLoad, float64) {
+// get returns the router's own load at a backend server and the server's latency.
+func (l *loads) get(incarnation string) (BackendLoad, float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	state := l.backends[id]
+	state := l.backends[incarnation]
 	if state == nil {
 		return BackendLoad{}, 0
 	}
 	return state.load, state.latency
 }
 
-// snapshot returns the loads of all backend servers that have any.
+// snapshot returns the loads of all backend servers with running requests.
 func (l *loads) snapshot() map[string]BackendLoad {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	loaded := make(map[string]BackendLoad, len(l.backends))
-	for id, state := range l.backends {
+	for incarnation, state := range l.backends {
 		if state.load.Running > 0 {
-			loaded[id] = state.load
+			loaded[incarnation] = state.load
 		}
 	}
 	return loaded
 }
 
-// prune forgets backend servers that are no longer listed.
+// prune removes unused backend servers that are no longer listed.
 func (l *loads) prune(backends map[string]*knowledge.Backend) {
 	listed := make(map[string]bool, len(backends))
 	for _, backend := range backends {
@@ -281,9 +278,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := boottime.Now()
-	for id, state := range l.backends {
-		if !listed[id] && state.load.Running <= 0 && now.Sub(state.lastUsed) > unusedStateTTL {
-			delete(l.backends, id)
+	for incarnation, state := range l.backends {
+		if !listed[incarnation] && state.load.Running <= 0 && now.Sub(state.lastUsed) > unusedStateTTL {
+			delete(l.backends, incarnation)
 		}
 	}
 }
--- a/internal/gate/local.go
+++ b/internal/gate/local.go
@@ -11,7 +11,7 @@
 	"github.com/bluebellchute/bluebellchute/internal/shares"
 )
 
-// Usages returns what each account asked and got here.
+// Usages returns what each account requested and was granted at this router.
 func (m *Manager) Usages() map[fleet.Account]shares.Usage {
 	a := m.handler.admission
 	a.mu.Lock()
@@ -19,28 +19,27 @@
 	return a.ledger.Own(boottime.Now())
 }
 
-// Loads returns what runs at backend servers, by the hashes of their
-// incarnations.
+// Loads returns this router's load at backend servers, by incarnation hash.
 func (m *Manager) Loads() map[uint32]BackendLoad {
 	loaded := m.handler.admission.loads.snapshot()
 	hashed := make(map[uint32]BackendLoad, len(loaded))
-	for id, load := range loaded {
-		hashed[knowledge.IncarnationHash(id)] = load
+	for incarnation, load := range loaded {
+		hashed[knowledge.IncarnationHash(incarnation)] = load
 	}
 	return hashed
 }
 
-// Paces returns what this router has seen of how fast backend servers work, by the
-// hashes of their incarnations.
+// Paces returns what this router has observed of the speed of backend servers, by
+// incarnation hash.
 func (m *Manager) Paces() map[uint32]pace.Observation {
 	return m.handler.admission.paces.own(boottime.Now())
 }
 
-// TakeCrashFingerprints returns the fingerprints of requests that were found here, since the
-// last call, to have run at a backend server that went down.
+// TakeCrashFingerprints returns the fingerprints of requests that this router has found,
+// since the last call, to have been running at a backend server when it crashed.
 func (m *Manager) TakeCrashFingerprints() []uint64 { return m.handler.suspects.takeUnreported() }
 
-// SetUsages takes the uses of another router.
+// SetUsages records the account usages of another router.
 func (m *Manager) SetUsages(router fleet.Address, uses map[fleet.Account]shares.Usage) {
 	a := m.handler.admission
 	a.mu.Lock()
@@ -48,7 +47,7 @@
 	a.ledger.SetOther(string(router), uses, boottime.Now())
 }
 
-// RemoveUsages forgets a router that is no longer heard.
+// RemoveUsages removes the account usages of a router that is no longer reachable.
 func (m *Manager) RemoveUsages(router fleet.Address) {
 	a := m.handler.admission
 	a.mu.Lock()
@@ -56,21 +55,21 @@
 	a.ledger.RemoveOther(string(router))
 }
 
-// ReceiveCrashFingerprint takes a fingerprint from another router.
+// ReceiveCrashFingerprint records a fingerprint reported by another router.
 func (m *Manager) ReceiveCrashFingerprint(router fleet.Address, fingerprint uint64) {
 	m.handler.suspects.crashReported(router, fingerprint)
 }
 
-// Status is what a router tells operators of itself.
+// Status is what a router reports about itself to operators.
 type Status struct {
 	VM       string
 	Zone     fleet.Zone
-	NotReady string       // why the balancer should send no callers, "" if it should
+	NotReady string       // why the load balancer should send no callers, "" if it should
 	Running  int          // requests at backend servers
-	Engines  []EnginePace // those that tell how long work takes
+	Engines  []EnginePace // those with known work times
 }
 
-// Status returns what operators want to know.
+// Status returns the router's status for operators.
 func (m *Manager) Status() Status {
 	return Status{
 		VM:       m.options.VM,
@@ -81,10 +80,10 @@
 	}
 }
 
-// SetDrained carries out an operator's order. The balancer sends new callers
-// elsewhere while the router is drained, and those that are connected are told
-// to connect anew; what comes all the same is served. It returns the requests
-// in progress.
+// SetDrained drains the router or takes it back into use, as an operator has ordered. While
+// it is drained, the load balancer sends new callers elsewhere, and connected callers are
+// asked to reconnect; requests that arrive nevertheless are served. It returns the number
+// of requests in progress.
 func (m *Manager) SetDrained(drained bool, operator, reason string) int {
 	m.handler.drainedByOperator.Store(drained)
 	event.GateDrainOrdered.Log(m.options.Logger, logrus.Fields{"drained": drained, "operator": operator, "reason": reason})
--- a/internal/gate/ownzone_test.go
+++ b/internal/gate/ownzone_test.go
@@ -11,14 +11,15 @@
 	"github.com/bluebellchute/bluebellchute/internal/selection"
 )
 
-// zonedFleet is an admission of a router in zone z, with engines in three zones.
+// zonedFleet is the admission of a router in zone z, with engines in three zones.
 type zonedFleet struct {
 	*admission
 	view    *knowledge.View
 	request *Request
 }
 
-// newZonedFleet returns one whose router gives parts homes in its own zone if told to.
+// newZonedFleet returns a fleet whose router prefers engines of its own zone if
+// ownZoneFirst is set.
 func newZonedFleet(ownZoneFirst bool) *zonedFleet {
 	return newFleetInZones(ownZoneFirst, []fleet.Zone{"z", "y", "x"})
 }
@@ -33,10 +34,10 @@
 	return f
 }
 
-// place places a request for the part, which is cheap to read.
-func (f *zonedFleet) place(t *testing.T, part int) *placement {
+// place places a request for the segment, which takes little time to read.
+func (f *zonedFleet) place(t *testing.T, segment int) *placement {
 	t.Helper()
-	f.request.Prompt.Segments = []PromptSegment{{fmt.Sprint("part ", part), 100}, {fmt.Sprint("own part ", part), 400}}
+	f.request.Prompt.Segments = []PromptSegment{{fmt.Sprint("part ", segment), 100}, {fmt.Sprint("own part ", segment), 400}}
 	f.request.Prompt.Tokens = 500
 	placed, refusal := f.admission.place(f.request, f.view, nil)
 	if refusal != nil {
@@ -45,8 +46,8 @@
 	return placed
 }
 
-// occupied returns the part of the slots of the own zone's engines, and of the others',
-// that are taken.
+// occupied returns the fraction of the slots in use at the own zone's engines, and at the
+// others'.
 func (f *zonedFleet) occupied() (own, others float64) {
 	for _, backend := range f.view.Backends {
 		load, _ := f.loads.get(backend.Incarnation)
@@ -59,20 +60,20 @@
 	return own, others
 }
 
-// Replays requests of a crowded zone that do not end. Guards against engines of that zone
-// that fill up while those of other zones have room, and against a preference for the own
-// zone that gets lost while there is room.
+// Replays requests from the callers of one zone that never end. Guards against engines of
+// that zone that fill up while those of other zones have room, and against ignoring the own
+// zone while it has room.
 func TestOverloadedZoneSpillsOver(t *testing.T) {
 	f := newZonedFleet(true)
 	inZone := 0
-	for part := range 600 {
-		if placed := f.place(t, part); placed.backend.Zone == f.zone {
+	for segment := range 600 {
+		if placed := f.place(t, segment); placed.backend.Zone == f.zone {
 			inZone++
-		} else if part < 30 {
-			t.Errorf("request %d left its zone while that had as much room as others", part)
+		} else if segment < 30 {
+			t.Errorf("request %d was placed in another zone while its own had as much room", segment)
 		}
 		if own, others := f.occupied(); own > others+2*ownZoneSlotMargin {
-			t.Fatalf("after %d requests, %.2f of the own zone's slots are taken, of others' %.2f", part+1, own, others)
+			t.Fatalf("after %d requests, %.2f of the own zone's slots are in use, and %.2f of the others'", segment+1, own, others)
 		}
 	}
 	if inZone < 200 || inZone > 400 {
@@ -80,8 +81,8 @@
 	}
 }
 
-// Guards against requests that are refused, or placed elsewhere than without the
-// preference, where the own zone has no usable engines.
+// Guards against refusing requests, or placing them elsewhere than without the preference,
+// if the own zone has no usable engines.
 func TestZoneWithoutUsableEnginesIsNotPreferred(t *testing.T) {
 	preferring, indifferent := newZonedFleet(true), newZonedFleet(false)
 	for _, f := range []*zonedFleet{preferring, indifferent} {
@@ -91,18 +92,18 @@
 			}
 		}
 	}
-	for part := range 100 {
-		got, want := preferring.place(t, part), indifferent.place(t, part)
+	for segment := range 100 {
+		got, want := preferring.place(t, segment), indifferent.place(t, segment)
 		if got.backend.ID != want.backend.ID || got.backend.Zone == preferring.zone {
-			t.Errorf("part %d is placed at %s, want %s", part, got.backend.ID, want.backend.ID)
+			t.Errorf("segment %d is placed at %s, want %s", segment, got.backend.ID, want.backend.ID)
 		}
 		preferring.release(preferring.request, got, true)
 		indifferent.release(indifferent.request, want, true)
 	}
 }
 
-// Guards against a request that is refused although an engine of its own zone takes it:
-// those that its part prefers in all zones are full, and have less to read.
+// Guards against refusing a request that an engine of its own zone accepts, because the
+// engines that its segment prefers in all zones are full but have less to read.
 func TestOwnZoneTakesWhatNoOtherEngineTakes(t *testing.T) {
 	own := selection.Choice{Fits: true, Wait: 200 * time.Millisecond, SlotsUsed: 0.5}
 	for name, elsewhere := range map[string]selection.Choice{
@@ -110,16 +111,16 @@
 		"disruptive": {Fits: true, Disrupts: true, Wait: 100 * time.Millisecond, SlotsUsed: 0.3},
 	} {
 		if !preferOwnZone(own, elsewhere, time.Second) {
-			t.Errorf("the engine of the own zone is left out where the other one is %s", name)
+			t.Errorf("the engine of the own zone is not used although the other one is %s", name)
 		}
 	}
 	if preferOwnZone(own, selection.Choice{Fits: true, Wait: 100 * time.Millisecond, SlotsUsed: 0.5}, time.Second) {
-		t.Error("an engine of the own zone is taken that makes the request wait")
+		t.Error("an engine of the own zone is used although the request would wait there")
 	}
 }
 
-// Guards against refusals while an engine of the own zone has room: also where the engine
-// that would refuse the request stands in the own zone.
+// Guards against refusals while an engine of the own zone has room, also if the engine that
+// would refuse the request is in the own zone.
 func TestLastEngineWithRoomIsFoundInTheOwnZone(t *testing.T) {
 	zones := make([]fleet.Zone, 15) // two engines in each
 	for i := range zones {
@@ -132,25 +133,25 @@
 			f.loads.begin(backend.Incarnation, BackendLoad{Running: backend.Slots})
 		}
 	}
-	for part := range 200 {
-		placed := f.place(t, part)
+	for segment := range 200 {
+		placed := f.place(t, segment)
 		if placed.backend.ID != withRoom {
-			t.Fatalf("part %d is placed at %s, which is full", part, placed.backend.ID)
+			t.Fatalf("segment %d is placed at %s, which is full", segment, placed.backend.ID)
 		}
 		f.release(f.request, placed, true)
 	}
 }
 
-// Guards against parts that count as asked seldom because some of their requests find
-// room at homes in the own zone.
+// Guards against segments that do not count as frequently requested because some of their
+// requests are placed at engines of the own zone.
 func TestRequestsPlacedInTheOwnZoneCountAsDemand(t *testing.T) {
 	f := newZonedFleet(true)
-	for part := range 20 {
+	for segment := range 20 {
 		for range 3 {
-			f.release(f.request, f.place(t, part), true)
+			f.release(f.request, f.place(t, segment), true)
 		}
 		if !f.segments.recordRequest(f.request.Prompt.SharedSegment(), boottime.Now()) {
-			t.Errorf("part %d does not count as asked often", part)
+			t.Errorf("segment %d does not count as frequently requested", segment)
 		}
 	}
 }
--- a/internal/gate/pacemonitor.go
+++ b/internal/gate/pacemonitor.go
@@ -15,35 +15,35 @@
 )
 
 const (
-	// paceLogInterval is the pause between two records of changed paces.
+	// paceLogInterval is the minimum interval between two log entries on changed paces.
 	paceLogInterval = time.Second
-	// minLoggedChange is the change of a usual work time, as a part of it, that is recorded.
+	// minLoggedChange is the relative change of a usual work time from which it is logged.
 	minLoggedChange = 0.25
 )
 
-// The results of reports of load.
+// The results of load reports.
 const (
 	reportTaken        = "taken"
 	reportMalformed    = "malformed"
 	reportContradicted = "contradicted"
 )
 
-// paceMonitor tells operators of paces by metrics and records.
+// paceMonitor exports paces as metrics and logs their changes.
 type paceMonitor struct {
 	logger  logrus.FieldLogger
 	reports *prometheus.CounterVec
-	// The fields below are used by whoever builds a snapshot alone.
+	// The fields below are used only while a snapshot is built, under its lock.
 	recorded   map[uint32]recordedPace
 	recordedAt boottime.Instant
 }
 
-// recordedPace is what the records tell of a backend server.
+// recordedPace is the last logged state of a backend server.
 type recordedPace struct {
 	usual        float64
 	contradicted bool
 }
 
-// export lets the paces be told by metrics and records.
+// export starts exporting the paces as metrics and log entries.
 func (p *paces) export(logger logrus.FieldLogger, registerer prometheus.Registerer) {
 	w := &paceMonitor{
 		logger: logger,
@@ -57,15 +57,15 @@
 	p.monitor.Store(w)
 }
 
-// count counts a report of load.
+// count counts a load report.
 func (w *paceMonitor) count(result string) {
 	if w != nil {
 		w.reports.WithLabelValues(result).Inc()
 	}
 }
 
-// logChange writes a record of one backend server whose pace has changed, if one is due.
-// The others' turns come later.
+// logChange logs one backend server whose pace has changed, if a log entry is due. Others
+// are logged by later calls.
 func (w *paceMonitor) logChange(built *paceSnapshot) {
 	if w == nil || built.builtAt.Sub(w.recordedAt) < paceLogInterval {
 		return
@@ -85,7 +85,7 @@
 		if known && !before.differs(engine) {
 			return
 		}
-		if known || engine.Contradicted { // what is first heard of a server is no change
+		if known || engine.Contradicted { // the first report of a server is no change
 			if written {
 				return
 			}
@@ -99,7 +99,7 @@
 	}
 }
 
-// differs tells whether the estimate is worth a record after the one before.
+// differs reports whether the estimate is worth a log entry after the last logged one.
 func (r recordedPace) differs(engine pace.Estimate) bool {
 	change := engine.Usual / r.usual
 	return change >= 1+minLoggedChange || change <= 1-minLoggedChange || (engine.Contradicted && !r.contradicted)
@@ -121,7 +121,8 @@
 	event.GateEnginePace.Log(w.logger, fields)
 }
 
-// ageMilliseconds returns -1 for an age that is unknown, which is negative.
+// ageMilliseconds returns the age in milliseconds, -1 if it is unknown, which a negative
+// age stands for.
 func ageMilliseconds(age time.Duration) int64 {
 	if age < 0 {
 		return -1
@@ -154,7 +155,7 @@
 	}
 }
 
-// workTimes returns the usual work times of the listed servers that tell one.
+// workTimes returns the usual work times of the listed servers that report one.
 func (b *paceSnapshot) workTimes() map[fleet.Service][]float64 {
 	usual := make(map[fleet.Service][]float64)
 	b.snapshot.Each(func(server uint32, engine pace.Estimate) {
@@ -165,17 +166,16 @@
 	return usual
 }
 
-// EnginePace is what a router knows of how fast a backend server works.
+// EnginePace is the pace of a backend server as a router knows it.
 type EnginePace struct {
 	ID       string
 	Service  fleet.Service
 	Zone     fleet.Zone
 	Estimate pace.Estimate
-	Running  int // requests there, of all routers
+	Running  int // requests there, from all routers
 }
 
-// enginePaces returns the listed servers that tell a work time, in the order of their
-// ids.
+// enginePaces returns the listed servers that report a work time, sorted by id.
 func (a *admission) enginePaces() []EnginePace {
 	built := a.paces.current()
 	var engines []EnginePace
--- a/internal/gate/paces.go
+++ b/internal/gate/paces.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// snapshotInterval is the pause between two snapshots of paces. Merging all routers'
-	// figures for each request would cost more than the decision.
+	// snapshotInterval is the interval between two snapshots of paces. Merging the
+	// observations of all routers for each request would cost more than the decision.
 	snapshotInterval = 100 * time.Millisecond
-	// maxSnapshotAge is the age from which requests wait for a new snapshot, as after a pause
-	// of the process, instead of going by the last one while the next one is built. It is
-	// no longer than a reported work time stands for the current one.
+	// maxSnapshotAge is the age from which requests wait for a new snapshot, as after a
+	// pause of the process, instead of using the last one while the next one is built. It
+	// is no more than the time for which a reported work time counts as current.
 	maxSnapshotAge = 400 * time.Millisecond
-	// minReadingSeconds is the reading that must have been seen of a service before its
-	// rate is compared with single engines'.
+	// minReadingSeconds is the time that engines of a service must have spent reading
+	// before the service's rate is compared with the rates of single engines.
 	minReadingSeconds = 3
 )
 
-// paces is what is known of how fast each backend server works. Its methods may be
+// paces holds the observed and reported speed of each backend server. Its methods may be
 // called concurrently.
 type paces struct {
 	settings *currentSettings
@@ -33,15 +33,15 @@
 	peers    Peers
 	table    *pace.Table
 
-	building sync.Mutex // is held by whoever builds a snapshot
+	building sync.Mutex // held while a snapshot is built
 	built    atomic.Pointer[paceSnapshot]
-	monitor  atomic.Pointer[paceMonitor] // nil until it is set
+	monitor  atomic.Pointer[paceMonitor] // nil until export is called
 
 	mu     sync.Mutex
-	listed map[uint32]*knowledge.Backend // by the hashes of their incarnations
+	listed map[uint32]*knowledge.Backend // by incarnation hash
 }
 
-// paceSnapshot is a snapshot and what follows from it.
+// paceSnapshot is a snapshot with figures derived from it.
 type paceSnapshot struct {
 	snapshot *pace.Snapshot
 	builtAt  boottime.Instant
@@ -49,11 +49,12 @@
 	listed   map[uint32]*knowledge.Backend
 }
 
-// reportCounts counts the servers of a service that tell a work time.
+// reportCounts counts the servers of a service that report a work time, and those whose
+// reports contradict the observations.
 type reportCounts struct{ servers, contradicted int }
 
-// rateDoubtful tells that most servers contradict the rate of the service: that is wrong
-// rather than all of them.
+// rateDoubtful reports whether most servers contradict the rate of the service: then the
+// rate is probably wrong, not the servers.
 func (s reportCounts) rateDoubtful() bool { return 2*s.contradicted > s.servers }
 
 func newPaces(settings *currentSettings, loads *loads, peers Peers) *paces {
@@ -66,10 +67,10 @@
 	}
 }
 
-// enabled tells whether the settings ask for paces.
+// enabled reports whether paces are switched on.
 func (p *paces) enabled() bool { return p.settings.get().Engines.Pace }
 
-// recordReport takes what a backend server tells of its load with an answer.
+// recordReport records the load that a backend server reported with an answer.
 func (p *paces) recordReport(backend *knowledge.Backend, reply Reply, now boottime.Instant) {
 	if !p.enabled() {
 		return
@@ -91,8 +92,8 @@
 	watcher.count(reportTaken)
 }
 
-// recordReading notes that an engine took the time to read the prompt tokens that were waiting,
-// and returns the time that an engine at work time 1 would have taken.
+// recordReading records how long an engine took to read the pending prompt tokens, and
+// returns the time that an engine with work time 1 would have taken.
 func (p *paces) recordReading(backend *knowledge.Backend, pending float64, took time.Duration) time.Duration {
 	if !p.enabled() {
 		return took
@@ -105,20 +106,20 @@
 	}
 	workTime := engine.Usual
 	if engine.Contradicted && built.services[backend.Service].rateDoubtful() {
-		// By what is seen of them, these engines would confirm a wrong rate for ever.
+		// With their observed work times, these engines would confirm a wrong rate forever.
 		workTime = engine.Reported
 	}
 	return time.Duration(float64(took) / workTime)
 }
 
-// recordStreamEnd notes the end of a whole stream, and whether it was late.
+// recordStreamEnd records the end of a complete stream, and whether it was late.
 func (p *paces) recordStreamEnd(backend *knowledge.Backend, late bool) {
 	if p.enabled() {
 		p.table.RecordStreamEnd(backend.IncarnationHash, late, boottime.Now())
 	}
 }
 
-// own returns what this router has seen, for the others.
+// own returns this router's observations, for the other routers.
 func (p *paces) own(now boottime.Instant) map[uint32]pace.Observation {
 	if !p.enabled() {
 		return nil
@@ -126,26 +127,26 @@
 	return p.table.Own(now)
 }
 
-// estimate returns what is expected of a backend server by the hash of its incarnation.
-// Who looks at many at once takes one snapshot for all of them.
+// estimate returns the expected speed of a backend server, given by its incarnation hash.
+// To look at many servers, take one snapshot for all of them.
 func (p *paces) estimate(hash uint32) pace.Estimate { return p.snapshot().Engine(hash) }
 
-// snapshot returns what is expected of all backend servers. It is empty while paces are
+// snapshot returns the expected speed of all backend servers. It is empty while paces are
 // switched off.
 func (p *paces) snapshot() *pace.Snapshot { return p.current().snapshot }
 
-// hasReports tells whether any listed server of the service tells a work time. Where none
-// does, nothing may depend on paces.
+// hasReports reports whether any listed server of the service reports a work time. If none
+// does, no decision may depend on paces.
 func (p *paces) hasReports(service fleet.Service) bool {
 	return p.enabled() && p.current().services[service].servers > 0
 }
 
-// noPaces are those of a gate in which they are switched off.
+// noPaces is the snapshot while paces are switched off.
 var noPaces = &paceSnapshot{snapshot: &pace.Snapshot{}}
 
-// current returns the snapshot of the moment. One that is due is built in the background,
-// as merging what the routers of a large fleet report takes milliseconds; requests wait
-// for it only while the last one is too old to go by.
+// current returns the current snapshot. When a new one is due, it is built in the
+// background, since merging the reports of the routers of a large fleet takes milliseconds.
+// Requests wait for it only if the last one is older than maxSnapshotAge.
 func (p *paces) current() *paceSnapshot {
 	if !p.enabled() {
 		return noPaces
@@ -169,8 +170,8 @@
 	return p.refresh(now)
 }
 
-// refresh returns the snapshot of the moment and builds it if no one else has meanwhile.
-// Its caller holds the lock for building.
+// refresh returns the current snapshot, and builds it unless another goroutine has done so
+// meanwhile. The caller must hold the building lock.
 func (p *paces) refresh(now boottime.Instant) *paceSnapshot {
 	built := p.built.Load()
 	if built.youngerThan(now, snapshotInterval) {
@@ -182,7 +183,7 @@
 	return built
 }
 
-// youngerThan tells whether the snapshot is younger than the age.
+// youngerThan reports whether the snapshot exists and is younger than the given age.
 func (b *paceSnapshot) youngerThan(now boottime.Instant, age time.Duration) bool {
 	return b != nil && now.Sub(b.builtAt) < age
 }
@@ -225,8 +226,8 @@
 	return built
 }
 
-// serviceRate returns the prompt tokens that an engine at work time 1 reads in a second,
-// 0 while too little was seen.
+// serviceRate returns the prompt tokens per second that an engine with work time 1 reads, 0
+// as long as there are too few observations.
 func (p *paces) serviceRate(service fleet.Service) float64 {
 	rate, seconds := p.loads.observedRate(service)
 	if seconds < minReadingSeconds {
@@ -235,19 +236,20 @@
 	return rate
 }
 
-// addBackend makes a backend server known that has answered before the list was taken.
+// addBackend adds a backend server that has answered before it was listed.
 func (p *paces) addBackend(backend *knowledge.Backend) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.listed[backend.IncarnationHash] != nil {
 		return
 	}
-	listed := maps.Clone(p.listed) // snapshots hold the former map
+	listed := maps.Clone(p.listed) // snapshots share the former map
 	listed[backend.IncarnationHash] = backend
 	p.listed = listed
 }
 
-// setBackends takes the list of backend servers and forgets those that are not on it.
+// setBackends sets the list of backend servers and removes the observations of unlisted
+// ones.
 func (p *paces) setBackends(backends map[string]*knowledge.Backend) {
 	listed := make(map[uint32]*knowledge.Backend, len(backends))
 	hashes := make(map[uint32]bool, len(backends))
--- a/internal/gate/paces_test.go
+++ b/internal/gate/paces_test.go
@@ -17,7 +17,7 @@
 	"github.com/bluebellchute/bluebellchute/internal/policy"
 )
 
-// pacedPeers is a fleet whose other routers know of paces.
+// pacedPeers is a fleet whose other routers have observed paces.
 type pacedPeers struct {
 	noPeers
 	paces map[uint32]pace.Observation
@@ -25,7 +25,8 @@
 
 func (p *pacedPeers) Paces(boottime.Instant) map[uint32]pace.Observation { return p.paces }
 
-// pacedFleet is an admission with two engines of service "s" and a plain server.
+// pacedFleet is the admission of a router with two engines of service "s" and a plain
+// server.
 type pacedFleet struct {
 	*admission
 	peers               *pacedPeers
@@ -49,20 +50,20 @@
 	return f
 }
 
-// report lets a backend server tell its work time with an answer.
+// report delivers a work time that a backend server reports with an answer.
 func (f *pacedFleet) report(backend *knowledge.Backend, workTime float64) {
 	f.paces.recordReport(backend, Reply{Load: pace.Report{Slots: 48, WorkTime: workTime}}, boottime.Now())
 	f.expireSnapshot()
 }
 
-// expireSnapshot lets the next look build a snapshot, after one that is being built.
+// expireSnapshot makes the next look build a snapshot, after one that is being built.
 func (f *pacedFleet) expireSnapshot() {
 	f.paces.building.Lock()
 	defer f.paces.building.Unlock()
 	f.paces.built.Store(nil)
 }
 
-// firstEvent lets a request begin at an engine after the time.
+// firstEvent delivers the first event of a request to an engine after the given time.
 func (f *pacedFleet) firstEvent(backend *knowledge.Backend, tokens float64, took time.Duration) {
 	request := &Request{Service: backend.Service}
 	placed := &placement{backend: backend, load: BackendLoad{Running: 1, Pending: tokens}, pending: tokens, model: true}
@@ -70,7 +71,7 @@
 	f.expireSnapshot()
 }
 
-// Guards against deployments that behave differently although paces are switched off.
+// Guards against any effect of paces while they are switched off.
 func TestPacesSwitchedOffAreInert(t *testing.T) {
 	f := newPacedFleet(t, false)
 	f.peers.paces = map[uint32]pace.Observation{f.slow.IncarnationHash: {Usual: 3}}
@@ -78,11 +79,11 @@
 	f.firstEvent(f.fast, 10_000, time.Second)
 	f.recordStreamEnd("s", &placement{backend: f.fast}, true)
 	if f.paces.enabled() || f.paces.hasReports("s") || f.paces.own(boottime.Now()) != nil || f.enginePaces() != nil {
-		t.Error("something is told of paces")
+		t.Error("paces are in use or reported")
 	}
 	for _, backend := range []*knowledge.Backend{f.fast, f.slow} {
 		if got := f.paces.estimate(backend.IncarnationHash); got.HasReport || got.Usual != 1 || got.Now != 1 {
-			t.Errorf("%+v is expected of %s", got, backend.ID)
+			t.Errorf("estimate %+v for %s", got, backend.ID)
 		}
 	}
 	if rate, seconds := f.loads.observedRate("s"); rate != 10_000 || seconds != 1 {
@@ -90,15 +91,15 @@
 	}
 }
 
-// Guards against services whose servers tell no work time and that are treated
-// differently as soon as the switch is on.
+// Guards against treating services whose servers report no work time differently once paces
+// are switched on.
 func TestServiceWithoutReportsIsUnchanged(t *testing.T) {
 	f := newPacedFleet(t, true)
 	f.paces.recordReport(f.fast, Reply{Load: pace.Report{Running: 3, Slots: 48}}, boottime.Now())
 	f.report(f.another, 2)
 	f.firstEvent(f.fast, 10_000, time.Second)
 	if f.paces.hasReports("s") || !f.paces.hasReports("plain") {
-		t.Errorf("told: %t for engines without work times, %t for servers with them", f.paces.hasReports("s"), f.paces.hasReports("plain"))
+		t.Errorf("reports: %t for engines without work times, %t for servers with them", f.paces.hasReports("s"), f.paces.hasReports("plain"))
 	}
 	if got := f.paces.estimate(f.fast.IncarnationHash); got.HasReport || got.Usual != 1 {
 		t.Errorf("%+v", got)
@@ -118,16 +119,16 @@
 		f.firstEvent(f.slow, 10_000, 2*time.Second)
 	}
 	if rate, _ := f.loads.observedRate("s"); math.Abs(rate-10_000) > 1 {
-		t.Errorf("%v tokens a second, want 10,000", rate)
+		t.Errorf("%v tokens per second, want 10,000", rate)
 	}
 	fast, slow := f.paces.estimate(f.fast.IncarnationHash), f.paces.estimate(f.slow.IncarnationHash)
 	if math.Abs(fast.Rate-20_000) > 200 || math.Abs(slow.Rate-5000) > 50 {
-		t.Errorf("engines read %v and %v tokens a second, want 20,000 and 5,000", fast.Rate, slow.Rate)
+		t.Errorf("engines read %v and %v tokens per second, want 20,000 and 5,000", fast.Rate, slow.Rate)
 	}
 }
 
-// Guards against a rate learned before the paces were known that contradicts all engines
-// for good, since what they do would be taken for work time 1.
+// Guards against a rate learned before the work times were reported that permanently
+// contradicts all engines, because their speed would be taken for that at work time 1.
 func TestWrongRateOfAServiceIsRelearned(t *testing.T) {
 	f := newPacedFleet(t, true)
 	for range 100 {
@@ -144,7 +145,7 @@
 	}
 }
 
-// Guards against one engine with a wrong report that spoils the rate of all.
+// Guards against one engine with a wrong report that distorts the rate of all.
 func TestContradictedEngineDoesNotSpoilTheServicesRate(t *testing.T) {
 	f := newPacedFleet(t, true)
 	f.report(f.slow, 1)
@@ -158,14 +159,14 @@
 		f.firstEvent(f.fast, 10_000, time.Second)
 	}
 	if rate, _ := f.loads.observedRate("s"); math.Abs(rate-10_000) > 500 {
-		t.Errorf("%v tokens a second, want some 10,000", rate)
+		t.Errorf("%v tokens per second, want about 10,000", rate)
 	}
 	if got := f.paces.estimate(f.fast.IncarnationHash); !got.Contradicted || math.Abs(got.Usual-1) > 0.1 {
 		t.Errorf("%+v", got)
 	}
 }
 
-// slowPeers is a fleet that takes long to tell of paces.
+// slowPeers is a fleet whose Paces blocks until proceed is closed.
 type slowPeers struct {
 	noPeers
 	called, proceed chan struct{}
@@ -177,22 +178,22 @@
 	return nil
 }
 
-// Guards against requests that wait while a snapshot is built, which takes milliseconds
-// in large fleets, and against two builds at once.
+// Guards against requests that wait while a snapshot is built, which takes milliseconds in
+// large fleets, and against two concurrent builds.
 func TestRequestsDoNotWaitForASnapshot(t *testing.T) {
 	peers := &slowPeers{called: make(chan struct{}, 2), proceed: make(chan struct{})}
 	p := newPaces(newCurrentSettings(Settings{Engines: EngineSettings{Pace: true}}), newLoads(), peers)
 	last := &paceSnapshot{snapshot: &pace.Snapshot{}, builtAt: boottime.Now().Add(-snapshotInterval)}
 	p.built.Store(last)
-	looked := make(chan *paceSnapshot)
+	snapshots := make(chan *paceSnapshot)
 	for range 2 {
-		go func() { looked <- p.current() }()
+		go func() { snapshots <- p.current() }()
 	}
 	for range 2 {
 		select {
-		case built := <-looked:
+		case built := <-snapshots:
 			if built != last && last.youngerThan(boottime.Now(), maxSnapshotAge) {
-				t.Error("a request did not go by the last snapshot")
+				t.Error("a request did not use the last snapshot")
 			}
 		case <-time.After(2 * time.Second):
 			t.Fatal("a request waits for the snapshot")
@@ -207,7 +208,7 @@
 	}
 }
 
-// Guards against a router that goes by paces from before a pause of its process.
+// Guards against using paces from before a pause of the process.
 func TestRequestsWaitWhileTheSnapshotIsOld(t *testing.T) {
 	f := newPacedFleet(t, true)
 	f.peers.paces = map[uint32]pace.Observation{f.slow.IncarnationHash: {Usual: 3}}
@@ -217,7 +218,7 @@
 	}
 }
 
-// Guards against routers that go by their own few answers alone.
+// Guards against routers that use only their own few observations.
 func TestOtherRoutersPacesCount(t *testing.T) {
 	f := newPacedFleet(t, true)
 	f.peers.paces = map[uint32]pace.Observation{f.slow.IncarnationHash: {Usual: 3}}
@@ -225,15 +226,15 @@
 		t.Errorf("%+v", got)
 	}
 	if got := f.paces.own(boottime.Now()); got != nil {
-		t.Errorf("%+v of others is told as this router's own", got)
+		t.Errorf("%+v of others is reported as this router's own", got)
 	}
 	engines := f.enginePaces()
 	if len(engines) != 1 || engines[0].ID != "slow" || engines[0].Estimate.Usual != 3 {
-		t.Errorf("operators are told %+v", engines)
+		t.Errorf("reported to operators: %+v", engines)
 	}
 }
 
-// Guards against tables that grow with each server that is replaced.
+// Guards against tables that grow with each replaced server.
 func TestPacesOfUnlistedServersAreRemoved(t *testing.T) {
 	f := newPacedFleet(t, true)
 	f.report(f.fast, 0.5)
@@ -244,8 +245,8 @@
 	}
 }
 
-// Guards against what another server under the address says of itself, and against
-// malformed reports that are believed or vanish without a trace.
+// Guards against applying the report of another server that has taken over the address, and
+// against malformed reports that are accepted or ignored without being counted.
 func TestReportsAreCounted(t *testing.T) {
 	f := newPacedFleet(t, true)
 	logger, hook := logrustest.NewNullLogger()
@@ -255,7 +256,7 @@
 	report := pace.Report{Slots: 48, WorkTime: 0.5}
 	h.observeReply(f.fast, Reply{Load: report, Replaced: true})
 	if f.paces.hasReports("s") {
-		t.Error("a report of another server was taken")
+		t.Error("a report of another server was accepted")
 	}
 	f.expireSnapshot()
 	h.observeReply(f.fast, Reply{MalformedLoad: true})
@@ -284,39 +285,39 @@
 		t.Errorf("%v are exported", exported)
 	}
 	if entries := hook.AllEntries(); len(entries) != 1 || entries[0].Data["contradicted"] != true || entries[0].Data["backend"] != "fast" {
-		t.Errorf("%d records %+v", len(entries), entries)
+		t.Errorf("%d log entries %+v", len(entries), entries)
 	}
 }
 
-// Guards against floods of records while a whole service turns slow.
+// Guards against a flood of log entries while a whole service slows down.
 func TestChangedPacesAreLoggedOnceASecond(t *testing.T) {
 	logger, hook := logrustest.NewNullLogger()
 	f := newPacedFleet(t, true)
 	watcher := &paceMonitor{logger: logger, recorded: make(map[uint32]recordedPace)}
-	look := func(now boottime.Instant, usual float64) {
+	logChange := func(now boottime.Instant, usual float64) {
 		own := map[uint32]pace.Observation{f.fast.IncarnationHash: {Usual: usual}, f.slow.IncarnationHash: {Usual: usual}}
 		snapshot := pace.NewSnapshot(own, nil, func(uint32) float64 { return 0 }, now)
 		watcher.logChange(&paceSnapshot{snapshot: snapshot, builtAt: now, listed: f.paces.listed})
 	}
 	now := boottime.Now()
-	look(now, 1)
-	look(now.Add(snapshotInterval), 1.2)
+	logChange(now, 1)
+	logChange(now.Add(snapshotInterval), 1.2)
 	if count := len(hook.AllEntries()); count != 0 {
-		t.Fatalf("%d records of no change", count)
+		t.Fatalf("%d log entries without a change", count)
 	}
 	for i := range 21 {
-		look(now.Add(time.Second+time.Duration(i)*snapshotInterval), 1.3)
+		logChange(now.Add(time.Second+time.Duration(i)*snapshotInterval), 1.3)
 	}
 	entries := hook.AllEntries()
 	if len(entries) != 2 || entries[0].Data["backend"] == entries[1].Data["backend"] {
-		t.Fatalf("%d records, want one of each engine", len(entries))
+		t.Fatalf("%d log entries, want one for each engine", len(entries))
 	}
 	if entries[0].Data["told"] != 1.3 || entries[0].Data["before"] != 1.0 || entries[0].Data["age_ms"] != int64(-1) {
 		t.Errorf("%+v", entries[0].Data)
 	}
 }
 
-// Guards against races between requests that look and those that build.
+// Guards against races between requests that use a snapshot and those that build one.
 func TestPacesMayBeUsedConcurrently(t *testing.T) {
 	f := newPacedFleet(t, true)
 	logger := logrus.New()
@@ -341,7 +342,7 @@
 	}
 }
 
-// BenchmarkPaceSnapshot is what a look at one engine costs, and a new snapshot.
+// BenchmarkPaceSnapshot measures a look at one engine, and building a snapshot.
 func BenchmarkPaceSnapshot(b *testing.B) {
 	settings := newCurrentSettings(Settings{Engines: EngineSettings{Pace: true}})
 	peers := &pacedPeers{paces: make(map[uint32]pace.Observation)}
--- a/internal/gate/place_bench_test.go
+++ b/internal/gate/place_bench_test.go
@@ -13,18 +13,18 @@
 	"github.com/bluebellchute/bluebellchute/internal/shares"
 )
 
-// sizes are those of small and large fleets: backend servers, routers, accounts.
+// sizes are those of small and large fleets.
 var sizes = []struct{ backends, routers, accounts int }{{10, 5, 16}, {45, 24, 16}, {630, 350, 1700}}
 
-// benchAdmission returns an admission that knows a fleet of the size with the load
-// at each backend server, and a request of one of its accounts. All backend servers are
-// in its availability zone.
+// benchAdmission returns the admission of a router in a fleet of this size, with the given
+// load at each backend server, and a request of one of its accounts. All backend servers
+// are in the router's availability zone.
 func benchAdmission(backends, routers, accounts int, load BackendLoad) (*admission, *knowledge.View, *Request) {
 	return benchAdmissionInZones(backends, routers, accounts, load, []fleet.Zone{"z"})
 }
 
-// benchAdmissionInZones is like benchAdmission with backend servers in so many
-// availability zones, of which the first one is its own.
+// benchAdmissionInZones is like benchAdmission, with backend servers in several
+// availability zones, of which the first one is the router's own.
 func benchAdmissionInZones(backends, routers, accounts int, load BackendLoad, zones []fleet.Zone) (*admission, *knowledge.View, *Request) {
 	configuration := &knowledge.Configuration{
 		Version:  1,
@@ -45,11 +45,11 @@
 	settings := newCurrentSettings(Settings{Admission: policy.Defaults()})
 	a := newAdmission(settings, zones[0], fleetOf(routers))
 	for router := range routers - 1 {
-		uses := make(map[fleet.Account]shares.Usage)
+		usages := make(map[fleet.Account]shares.Usage)
 		for i := range min(accounts, 40) {
-			uses[fleet.Account(fmt.Sprint("account", (router*7+i)%accounts))] = shares.Usage{Requested: 5000, Granted: 3000}
+			usages[fleet.Account(fmt.Sprint("account", (router*7+i)%accounts))] = shares.Usage{Requested: 5000, Granted: 3000}
 		}
-		a.ledger.SetOther(fmt.Sprint("10.0.1.", router), uses, boottime.Now())
+		a.ledger.SetOther(fmt.Sprint("10.0.1.", router), usages, boottime.Now())
 	}
 	view := state.View()
 	for _, backend := range view.Backends {
@@ -64,9 +64,10 @@
 	return a, view, request
 }
 
-// BenchmarkPlaceModel is a decision at fleets of several sizes, with room at all engines
-// and with all of them full. It must not grow with the number of routers, and hardly with
-// that of engines: it looks at few candidates and at sums that are kept up to date.
+// BenchmarkPlaceModel measures a decision in fleets of several sizes, with room at all
+// engines and with all of them full. The cost must not grow with the number of routers, and
+// hardly with the number of engines: a decision considers few candidates and uses sums that
+// are kept up to date.
 func BenchmarkPlaceModel(b *testing.B) {
 	for _, size := range sizes {
 		for name, load := range map[string]BackendLoad{"room": {Running: 3, Pending: 400}, "full": {Running: 64, Pending: 400}} {
@@ -85,9 +86,9 @@
 	}
 }
 
-// BenchmarkPlaceModelByPace is BenchmarkPlaceModel with the settings of section [engines]
-// switched on, where all engines report a work time. shunned has one engine that gets
-// no requests, so that the list of usable engines is built for each request.
+// BenchmarkPlaceModelByPace is like BenchmarkPlaceModel with the settings of section
+// [engines] switched on, where all engines report a work time. In the case "shunned", one
+// engine is ejected, so that the list of usable engines is built for each request.
 func BenchmarkPlaceModelByPace(b *testing.B) {
 	for _, size := range sizes {
 		for name, load := range map[string]BackendLoad{"room": {Running: 3, Pending: 400}, "full": {Running: 64, Pending: 400}, "shunned": {Running: 3, Pending: 400}} {
@@ -110,8 +111,8 @@
 	}
 }
 
-// reportWorkTimes switches the settings of section [engines] on and lets each backend
-// server report a work time, a quarter of them one of fast machines.
+// reportWorkTimes switches the settings of section [engines] on and makes each backend
+// server report a work time; a quarter of them report that of fast machines.
 func reportWorkTimes(a *admission, view *knowledge.View) {
 	settings := *a.settings.get()
 	settings.Engines = EngineSettings{Pace: true, OwnZoneFirst: true}
@@ -127,5 +128,5 @@
 	}
 }
 
-// fleetOf is a fleet of so many routers.
+// fleetOf returns a fleet with this number of routers.
 func fleetOf(count int) Peers { return routers(count) }
--- a/internal/gate/place_model.go
+++ b/internal/gate/place_model.go
@@ -10,31 +10,32 @@
 	"github.com/bluebellchute/bluebellchute/internal/selection"
 )
 
-// modelSearch is the search for an engine for one request.
+// modelSearch holds the inputs of the search for an engine for one request.
 type modelSearch struct {
-	request     *Request
-	view        *knowledge.View
-	tier        policy.Tier
-	facts       policy.ModelRequest
-	bounds      policy.Bounds
-	protection  policy.Protection
-	demand      selection.Demand
-	limits      selection.Limits
-	ranking     ranking
-	segment     string             // last shared part of the prompt, "" for none
-	cacheHolder *knowledge.Backend // known to keep the shared parts, nil for none
+	request      *Request
+	view         *knowledge.View
+	tier         policy.Tier
+	modelRequest policy.ModelRequest
+	bounds       policy.Bounds
+	protection   policy.Protection
+	demand       selection.Demand
+	limits       selection.Limits
+	ranking      ranking
+	segment      string             // last shared segment of the prompt, "" for none
+	cacheHolder  *knowledge.Backend // caches the shared segments, nil if unknown
 }
 
-// placeModel chooses an engine for a request for a model and counts the request
-// in there, or refuses it. again tells that an engine has declined it before.
+// placeModel chooses an engine for a model request and adds the request to its load, or
+// returns a refusal. declinedBefore reports whether an engine has already declined the
+// request.
 func (a *admission) placeModel(request *Request, view *knowledge.View, usable []*knowledge.Backend, declinedBefore bool) (*placement, *Refusal) {
 	now := boottime.Now()
-	facts := a.facts(request, view, declinedBefore, now)
-	tier := a.policy().Tier(facts, rand.Float64())
-	if !a.policy().TierOpen(tier, facts.Usage) {
-		return nil, a.refuseModel(request, tier, Inputs{Tier: tier, ShareUsed: facts.Usage.ShareUsed})
+	modelRequest := a.modelRequest(request, view, declinedBefore, now)
+	tier := a.policy().Tier(modelRequest, rand.Float64())
+	if !a.policy().TierOpen(tier, modelRequest.Usage) {
+		return nil, a.refuseModel(request, tier, Inputs{Tier: tier, ShareUsed: modelRequest.Usage.ShareUsed})
 	}
-	search := a.search(request, view, tier, facts, now)
+	search := a.search(request, view, tier, modelRequest, now)
 	backend, choice := a.choose(search, usable, now)
 	inputs := search.inputs(backend, choice)
 	switch {
@@ -62,18 +63,18 @@
 	return placed, nil
 }
 
-// search returns what the search for an engine goes by.
-func (a *admission) search(request *Request, view *knowledge.View, tier policy.Tier, facts policy.ModelRequest, now boottime.Instant) *modelSearch {
-	bounds := a.policy().Bounds(tier, facts)
+// search returns the inputs of the search for an engine.
+func (a *admission) search(request *Request, view *knowledge.View, tier policy.Tier, modelRequest policy.ModelRequest, now boottime.Instant) *modelSearch {
+	bounds := a.policy().Bounds(tier, modelRequest)
 	search := &modelSearch{
-		request: request,
-		view:    view,
-		tier:    tier,
-		facts:   facts,
-		bounds:  bounds,
-		demand:  a.demand(request, bounds),
-		limits:  a.limits(view, request.Service, bounds),
-		segment: request.Prompt.SharedSegment(),
+		request:      request,
+		view:         view,
+		tier:         tier,
+		modelRequest: modelRequest,
+		bounds:       bounds,
+		demand:       a.demand(request, bounds),
+		limits:       a.limits(view, request.Service, bounds),
+		segment:      request.Prompt.SharedSegment(),
 	}
 	search.cacheHolder = a.cacheHolder(search.segment, view, now)
 	if !a.paces.hasReports(request.Service) {
@@ -91,12 +92,13 @@
 	return search
 }
 
-// choose returns the engine for the request among the usable ones, of which there must
-// be one, and what it finds there. One of the router's own availability zone comes first
-// for some requests, where it has as much room as any other.
+// choose returns an engine for the request among the usable ones, of which there must be at
+// least one, and the state found there. For some requests it prefers an engine of the
+// router's own availability zone that has as much room as the best one of all zones.
 func (a *admission) choose(search *modelSearch, usable []*knowledge.Backend, now boottime.Instant) (*knowledge.Backend, selection.Choice) {
 	frequent := a.recordDemand(search.segment, now) // counts the request, wherever it is placed
-	// While some engines get no requests, the list is built for each one.
+	// While some engines get no requests, the list of usable ones is built for each
+	// request.
 	filtered := !sameList(usable, search.serving())
 	backend, choice := a.chooseAmong(search, usable, filtered, search.protection.MaxEngines(search.bounds))
 	if backend.Zone == a.zone && choice.FitsUndisrupted() {
@@ -110,8 +112,9 @@
 	return backend, choice
 }
 
-// chooseAmong chooses among the first engines of a list that is kept, or drawn from those
-// that serve.
+// chooseAmong chooses among the first engines, at most limit, of the segment's order.
+// filtered reports whether usable was built from the serving engines for this request,
+// rather than being a list of the view.
 func (a *admission) chooseAmong(search *modelSearch, usable []*knowledge.Backend, filtered bool, limit int) (*knowledge.Backend, selection.Choice) {
 	var ranked []int
 	if filtered {
@@ -124,15 +127,15 @@
 	return usable[ranked[choice.Place]], choice
 }
 
-// serving returns the engines of the service that get requests, as the view lists them.
+// serving returns the engines of the service that get requests, as listed by the view.
 func (s *modelSearch) serving() []*knowledge.Backend { return s.view.Serving[s.request.Service] }
 
-// inputs returns what decided on the place of the request.
+// inputs returns the values behind the decision, for the request log.
 func (s *modelSearch) inputs(backend *knowledge.Backend, choice selection.Choice) Inputs {
 	return Inputs{
 		Tier:      s.tier,
 		Backend:   backend.ID,
-		ShareUsed: s.facts.Usage.ShareUsed,
+		ShareUsed: s.modelRequest.Usage.ShareUsed,
 		Ahead:     choice.Ahead,
 		Budget:    s.demand.Budget,
 		Shared:    choice.Place == 0,
@@ -143,10 +146,10 @@
 	}
 }
 
-// facts returns what the tier and the bounds of a request rest on.
-func (a *admission) facts(request *Request, view *knowledge.View, declinedBefore bool, now boottime.Instant) policy.ModelRequest {
+// modelRequest returns what the tier and the bounds of a request depend on.
+func (a *admission) modelRequest(request *Request, view *knowledge.View, declinedBefore bool, now boottime.Instant) policy.ModelRequest {
 	return policy.ModelRequest{
-		Usage:          a.standing(request, view.Index.Configuration.Limits.TokensPerSecond, now),
+		Usage:          a.accountUsage(request, view.Index.Configuration.Limits.TokensPerSecond, now),
 		Target:         request.Route.TargetLatency,
 		ShortestTarget: view.Index.MinTargetLatency(request.Service),
 		Rank:           view.Index.Rank(request.Service, request.Route, request.Account),
@@ -155,7 +158,7 @@
 	}
 }
 
-// leastHeadroom returns how far late answers lower the budgets of a service at most.
+// leastHeadroom returns the minimum to which late answers lower the headroom of a service.
 func (a *admission) leastHeadroom(service fleet.Service) float64 {
 	if a.paces.hasReports(service) {
 		return a.policy().HeadroomFloor()
@@ -163,8 +166,9 @@
 	return a.policy().LeastHeadroom
 }
 
-// standing returns how much of its share the request's account will have got.
-func (a *admission) standing(request *Request, capacity float64, now boottime.Instant) policy.AccountUsage {
+// accountUsage returns how much of its share the request's account will have used with this
+// request.
+func (a *admission) accountUsage(request *Request, capacity float64, now boottime.Instant) policy.AccountUsage {
 	if request.Account == nil {
 		return policy.AccountUsage{}
 	}
@@ -178,7 +182,7 @@
 	}
 }
 
-// refuseModel refuses a request that no engine takes within its bounds.
+// refuseModel refuses a request that no engine accepts within its bounds.
 func (a *admission) refuseModel(request *Request, tier policy.Tier, inputs Inputs) *Refusal {
 	reason := ReasonBusy
 	if tier == policy.TierIdle {
@@ -187,7 +191,7 @@
 	return a.refuseForCapacity(request, reason, inputs)
 }
 
-// refuseForCapacity refuses a request for want of room.
+// refuseForCapacity refuses a request for lack of capacity.
 func (a *admission) refuseForCapacity(request *Request, reason Reason, inputs Inputs) *Refusal {
 	refusal := a.refuse(request, reason)
 	refusal.RetryAfter = a.policy().RetryAfterByUsage(request.Route.TargetLatency, inputs.ShareUsed, rand.Float64())
@@ -195,7 +199,7 @@
 	return refusal
 }
 
-// admit counts a placed request in.
+// admit adds a placed request to the load of its engine and to the usage of its account.
 func (a *admission) admit(request *Request, placed *placement, now boottime.Instant) {
 	a.loads.begin(placed.backend.Incarnation, placed.load)
 	if request.Account == nil {
@@ -226,8 +230,8 @@
 	}
 }
 
-// engines returns a look at the candidates among the usable backend servers, by
-// their place in the order of the request's key.
+// engines returns a function that returns the state of a candidate, by its position in the
+// segment's order.
 func (a *admission) engines(search *modelSearch, usable []*knowledge.Backend, ranked []int) func(place int) selection.Engine {
 	capacity := 0.0
 	if settings := search.view.Index.Service(search.request.Service); settings != nil {
@@ -248,7 +252,7 @@
 		if search.ranking.weighted {
 			estimate := search.ranking.snapshot.Engine(backend.IncarnationHash)
 			engine.Rate, engine.Slowdown = estimate.Rate, estimate.Slowdown()
-			if engine.Rate == 0 { // too little has been read yet to know the service's rate
+			if engine.Rate == 0 { // too few observations to know the service's rate
 				engine.Rate = search.limits.Rate * estimate.Speed()
 			}
 		}
@@ -258,8 +262,8 @@
 
 func backendIDHash(backend *knowledge.Backend) uint64 { return backend.IDHash }
 
-// defaultReadRate is the prompt tokens that an engine reads in a second before
-// anything is known of it, when no capacity is stated either.
+// defaultReadRate is how many prompt tokens per second an engine is assumed to read before
+// the first observation, if no capacity is configured either.
 const defaultReadRate = 20_000
 
 func (a *admission) limits(view *knowledge.View, service fleet.Service, bounds policy.Bounds) selection.Limits {
@@ -277,7 +281,7 @@
 	}
 }
 
-// canFetch tells whether engines of the service fetch prompt parts from each
+// canFetch reports whether engines of the service can fetch prompt segments from each
 // other.
 func (a *admission) canFetch(view *knowledge.View, service fleet.Service) bool {
 	settings := view.Index.Service(service)
--- a/internal/gate/plain.go
+++ b/internal/gate/plain.go
@@ -12,26 +12,26 @@
 	"github.com/bluebellchute/bluebellchute/internal/policy"
 )
 
-// PlainSettings bound what is sent to plain services.
+// PlainSettings are the settings of plain services.
 type PlainSettings struct {
-	// Admission tells to refuse what would wait too long. Every request is sent
-	// without it.
+	// Admission refuses requests that would wait too long. Without it, every request is
+	// sent.
 	Admission bool
 }
 
-// plainState is what a router has learned of one plain server.
+// plainState is what a router has learned about one plain server.
 type plainState struct {
 	load        policy.PlainLoad
 	serviceTime policy.ServiceTime
 	lastUsed    boottime.Instant
 }
 
-// plainServers is the table of plain servers by their incarnations. Its methods may
-// be called concurrently.
+// plainServers is the table of plain servers by incarnation. Its methods may be called
+// concurrently.
 type plainServers struct {
 	mu     sync.Mutex
 	states map[string]*plainState
-	// observeWait takes the wait that was expected at a decision.
+	// observeWait is called with the expected wait of each decision.
 	observeWait func(service fleet.Service, wait time.Duration)
 }
 
@@ -39,14 +39,14 @@
 	return &plainServers{states: make(map[string]*plainState), observeWait: func(fleet.Service, time.Duration) {}}
 }
 
-// plainPlacement is the place of a request at a plain server under admission control.
+// plainPlacement is the placement of a request at a plain server under admission control.
 type plainPlacement struct {
 	state    *plainState
 	sent     policy.SentPlainRequest
-	answered bool // the server's own answer has come, and is no failure
+	answered bool // the server itself has answered, without a failure
 }
 
-// state returns what was learned of an incarnation.
+// state returns what was learned about an incarnation.
 func (p *plainServers) state(incarnation string, now boottime.Instant) *plainState {
 	state := p.states[incarnation]
 	if state == nil {
@@ -57,7 +57,8 @@
 	return state
 }
 
-// defaultServiceTime is the service time before any server of a service has answered.
+// defaultServiceTime is the assumed service time before any server of a service has
+// answered.
 const defaultServiceTime = 10 * time.Millisecond
 
 // mean returns the mean service time of the backend servers that have answered.
@@ -75,13 +76,13 @@
 	return sum / known
 }
 
-// placeBounded chooses a plain server for the request and counts it in there, or
-// refuses it. The choice and the count are one step, so that requests which come
-// together do not all take the same free slot.
+// placeBounded chooses a plain server for the request and adds the request to its load, or
+// returns a refusal. Both happen under one lock, so that concurrent requests do not all
+// take the same free slot.
 func (a *admission) placeBounded(request *Request, view *knowledge.View, usable []*knowledge.Backend) (*placement, *Refusal) {
 	a.plain.mu.Lock()
 	defer a.plain.mu.Unlock()
-	now := boottime.Now() // under the lock, so that moments follow each other
+	now := boottime.Now() // read under the lock, so that times increase from call to call
 	servers, running := a.plainCandidates(usable, now)
 	choice := a.policy().ChoosePlain(policy.PlainRequest{
 		Target:     request.Route.TargetLatency,
@@ -105,9 +106,10 @@
 	return placed, nil
 }
 
-// plainCandidates returns the usable backend servers as candidates, and how many requests
-// each has as far as this router has heard. What is expected there is no measure of
-// how long an answer waited: requests are sent when little is expected.
+// plainCandidates returns the usable backend servers as candidates, and the requests
+// running at each as far as this router knows. The wait of an answer is derived from these
+// counts and not from the expected number of requests, which would be biased: requests are
+// sent when it is small.
 func (a *admission) plainCandidates(usable []*knowledge.Backend, now boottime.Instant) ([]policy.PlainServer, []int) {
 	servers, running := make([]policy.PlainServer, len(usable)), make([]int, len(usable))
 	mean, dither, routers := a.plain.mean(usable), rand.Float64(), a.peers.Routers()
@@ -129,8 +131,8 @@
 	return servers, running
 }
 
-// recordPlainAnswer notes an answer that is no failure of the server. took is the time
-// since the request was sent, and valid tells that the answer is a whole success.
+// recordPlainAnswer records an answer that is no failure of the server. took is the time
+// since the request was sent, and success reports whether it is a complete success.
 func (a *admission) recordPlainAnswer(placed *placement, success bool, took time.Duration) {
 	if placed.plain == nil {
 		return
@@ -143,13 +145,14 @@
 	}
 }
 
-// maxFailedHold bounds how long a failed request counts at its server. breakWatch takes
-// requests reported in breakRecent for a sign of life, so those that a crash has ended must
-// not be reported then.
+// maxFailedHold bounds how long a failed request stays in the load of its server. The crash
+// detector takes requests that routers report within reportWindow as evidence that the
+// server runs, so requests that a crash has ended must not be reported by then.
 const maxFailedHold = silenceTimeout - reportWindow
 
-// releasePlain counts a request out at its plain server. One that ran and failed sooner
-// than its answer was due counts until then, here and at the other routers.
+// releasePlain subtracts a request from the load of its plain server. One that ran and
+// failed before its answer was due counts until then, at this router and at the others.
+// Otherwise a server that fails quickly would seem to have free slots.
 func (a *admission) releasePlain(placed *placement, ran bool) {
 	place, now := placed.plain, boottime.Now()
 	a.plain.mu.Lock()
@@ -164,7 +167,7 @@
 	time.AfterFunc(min(remaining, maxFailedHold), release)
 }
 
-// prune forgets plain servers that are no longer listed.
+// prune removes plain servers that are no longer listed.
 func (p *plainServers) prune(backends map[string]*knowledge.Backend, now boottime.Instant) {
 	listed := make(map[string]bool, len(backends))
 	for _, backend := range backends {
--- a/internal/gate/plain_test.go
+++ b/internal/gate/plain_test.go
@@ -19,7 +19,7 @@
 	"github.com/bluebellchute/bluebellchute/internal/policy"
 )
 
-// plainGate is a gate before one plain server with two slots.
+// plainGate returns a router with one plain server that has two slots.
 func plainGate(t *testing.T, plain PlainSettings, serve http.HandlerFunc) *Manager {
 	t.Helper()
 	server := httptest.NewServer(serve)
@@ -51,7 +51,7 @@
 	return recorder.Result()
 }
 
-// askMany asks so many times at once and returns the answers by their status.
+// askMany sends this number of concurrent requests and returns the answers by status.
 func askMany(m *Manager, count int) map[int][]*http.Response {
 	answers := make(chan *http.Response)
 	for range count {
@@ -65,8 +65,8 @@
 	return byStatus
 }
 
-// Guards against a crowded server getting everything, and against a refusal of a
-// request that was sent, or without a time to come back.
+// Guards against sending everything to an overloaded server, against refusing a request
+// that was sent, and against refusals without Retry-After.
 func TestOverloadedPlainServerRefuses(t *testing.T) {
 	for _, admission := range []bool{false, true} {
 		var arrived atomic.Int32
@@ -97,13 +97,13 @@
 			}
 		}
 		if left := m.Loads(); len(left) != 0 {
-			t.Errorf("%v are left", left)
+			t.Errorf("load left over: %v", left)
 		}
 	}
 }
 
-// Guards against a server that answers errors at once seeming to have free slots,
-// and against its failed requests being counted for good.
+// Guards against a server that fails immediately seeming to have free slots, and against
+// its failed requests being counted permanently.
 func TestFailedPlainRequestsCountForATime(t *testing.T) {
 	var failing atomic.Bool
 	m := plainGate(t, PlainSettings{Admission: true}, func(w http.ResponseWriter, _ *http.Request) {
@@ -117,18 +117,18 @@
 	failing.Store(true)
 	askPlain(m)
 	if got := m.running(); got != 1 {
-		t.Errorf("%d are counted after a failure at once", got)
+		t.Errorf("%d requests in the load after an immediate failure, want 1", got)
 	}
 	deadline := time.Now().Add(5 * time.Second)
 	for m.running() != 0 {
 		if time.Now().After(deadline) {
-			t.Fatal("the failed request is counted for good")
+			t.Fatal("the failed request is counted permanently")
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// Guards against the switch not reaching the decision, or being on by default.
+// Guards against a setting that has no effect or is on by default.
 func TestPlainSettingsAreApplied(t *testing.T) {
 	config := Config{}
 	if config.Settings().Plain.Admission {
@@ -136,12 +136,13 @@
 	}
 	config.Plain.Admission = true
 	if !config.Settings().Plain.Admission {
-		t.Error("the switch is not taken")
+		t.Error("the setting has no effect")
 	}
 }
 
-// Guards against requests that a crash has ended, and that still count at their server,
-// being taken for a sign that it lives: the request that crashed it would never be refused.
+// Guards against failed requests that a crash has ended but that still count at their
+// server. Taken as evidence that the server runs, they would prevent the refusal of the
+// request that crashed it.
 func TestFailedPlainRequestsDoNotHideACrash(t *testing.T) {
 	m := plainGate(t, PlainSettings{Admission: true}, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	for _, backend := range m.handler.state.View().Backends {
@@ -160,8 +161,8 @@
 	}
 }
 
-// Guards against a request with a withdrawn key being sent because it was held back, for
-// the sake of pending breaks, when the key was withdrawn.
+// Guards against sending a request whose key was withdrawn while the request was held back
+// because of undecided crashes.
 func TestHeldRequestLosesItsWithdrawnKey(t *testing.T) {
 	var arrived atomic.Int32
 	m := plainGate(t, PlainSettings{}, func(http.ResponseWriter, *http.Request) { arrived.Add(1) })
--- a/internal/gate/ranking.go
+++ b/internal/gate/ranking.go
@@ -12,17 +12,17 @@
 	"github.com/bluebellchute/bluebellchute/internal/selection"
 )
 
-// ranking orders the engines of a service for the parts of prompts.
+// ranking orders the engines of a service by rendezvous hashing for prompt segments.
 type ranking struct {
-	// weighted tells that engines are preferred by their speed.
+	// weighted means that faster engines get larger weights.
 	weighted bool
 	snapshot *pace.Snapshot
 	exponent float64 // of the speed
 	cache    *listCache
 }
 
-// rank returns the positions in the list of the engines that the part prefers most, the
-// first one first: so many, or fewer when the list is shorter.
+// rank returns the positions in the list of the engines that the segment prefers, best
+// first: limit of them, or fewer if the list is shorter.
 func (r ranking) rank(list []*knowledge.Backend, segment string, limit int) []int {
 	if !r.weighted {
 		return selection.Rank(list, backendIDHash, selection.Hash(segment), limit)
@@ -30,7 +30,8 @@
 	return selection.RankWeighted(list, backendIDHash, r.cache.weights(list, r), selection.Hash(segment), limit)
 }
 
-// rankFiltered is like rank for a list that was drawn from a kept one, in its order.
+// rankFiltered is like rank for a list that was filtered from the full one, in the same
+// order.
 func (r ranking) rankFiltered(filtered, full []*knowledge.Backend, segment string, limit int) []int {
 	if !r.weighted {
 		return r.rank(filtered, segment, limit)
@@ -42,9 +43,9 @@
 	return selection.RankWeighted(filtered, backendIDHash, weights, selection.Hash(segment), limit)
 }
 
-// filterWeights returns the weights of the engines of a list that was drawn from a kept
-// one, given those of the kept one. It returns false if the list has other engines or
-// another order.
+// filterWeights returns the weights of the engines of a list that was filtered from the
+// full one, given the weights of the full list. It returns false if the filtered list has
+// other engines or another order.
 func filterWeights(filtered, full []*knowledge.Backend, weights []float64) ([]float64, bool) {
 	selected := make([]float64, 0, len(filtered))
 	for i, backend := range full {
@@ -55,7 +56,7 @@
 	return selected, len(selected) == len(filtered)
 }
 
-// sameList tells whether both are one list.
+// sameList reports whether both slices are the same list in memory.
 func sameList(a, b []*knowledge.Backend) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
@@ -70,10 +71,10 @@
 // maxCachedLists bounds the cached lists. Each view has a few for each service.
 const maxCachedLists = 64
 
-// listCache keeps what follows from whole lists of engines, so that requests do not work
-// it out for hundreds of engines each. It is for the lists of views, and those that it
-// returns: lists that are built for single requests would fill it and never be found
-// again. Its methods may be called concurrently.
+// listCache caches figures derived from complete lists of engines, so that requests do not
+// compute them for hundreds of engines each. It is meant for the lists of views and the
+// lists that it returns: lists that are built for single requests would fill it and never
+// be found again. Its methods may be called concurrently.
 type listCache struct {
 	mu       sync.Mutex
 	snapshot *pace.Snapshot
@@ -81,13 +82,13 @@
 	ownZone  map[**knowledge.Backend]zoneList
 }
 
-// weighedKey names a list by its first element.
+// weighedKey identifies a list by the address of its first element.
 type weighedKey struct {
 	list     **knowledge.Backend
 	exponent float64
 }
 
-// weighedList holds on to its list, so that no other list gets its address.
+// weighedList refers to its list, so that no other list gets the same address.
 type weighedList struct {
 	list    []*knowledge.Backend
 	weights []float64
@@ -122,8 +123,8 @@
 	return weights
 }
 
-// inZone returns the engines of the list that stand in the availability zone, which must
-// be the same in all calls.
+// inZone returns the engines of the list in the availability zone, which must be the same
+// in all calls.
 func (c *listCache) inZone(list []*knowledge.Backend, zone fleet.Zone) []*knowledge.Backend {
 	if len(list) == 0 {
 		return nil
@@ -141,7 +142,7 @@
 	return near
 }
 
-// inZone returns the engines of the list that stand in the availability zone.
+// inZone returns the engines of the list in the availability zone.
 func inZone(list []*knowledge.Backend, zone fleet.Zone) []*knowledge.Backend {
 	return lo.Filter(list, func(backend *knowledge.Backend, _ int) bool { return backend.Zone == zone })
 }
--- a/internal/gate/ranking_test.go
+++ b/internal/gate/ranking_test.go
@@ -15,8 +15,8 @@
 	"github.com/bluebellchute/bluebellchute/internal/pace"
 )
 
-// Guards against lists that are built for single requests, as while an engine is shunned,
-// and that displace the lists of the view from the cache or are held by it.
+// Guards against lists built for single requests, as while an engine is ejected, that
+// replace the lists of the view in the cache or stay in memory through it.
 func TestListsOfSingleRequestsAreNotCached(t *testing.T) {
 	zones := []fleet.Zone{"z", "y", "x"}
 	a, view, request := benchAdmissionInZones(30, 1, 4, BackendLoad{Running: 3, Pending: 400}, zones)
@@ -40,7 +40,7 @@
 	}
 }
 
-// Guards against engines that get the weights of others while some get no requests.
+// Guards against engines that get the weights of others while some engines get no requests.
 func TestFilteredListsAreRankedByTheirOwnWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		full := make([]*knowledge.Backend, rapid.IntRange(1, 20).Draw(t, "engines"))
@@ -56,15 +56,15 @@
 		if got, want := by.rankFiltered(list, full, segment, 10), by.rank(list, segment, 10); !slices.Equal(got, want) {
 			t.Errorf("ranked %v, want %v", got, want)
 		}
-		slices.Reverse(list) // was not drawn in order
+		slices.Reverse(list) // another order than in the full list
 		if got, want := by.rankFiltered(list, full, segment, 10), by.rank(slices.Clone(list), segment, 10); !slices.Equal(got, want) {
 			t.Errorf("ranked %v in another order, want %v", got, want)
 		}
 	})
 }
 
-// Guards against weights of a former snapshot, and of a list that had the same engines
-// before one was replaced.
+// Guards against using the weights of an older snapshot, or of a list with the same engines
+// before one of them was replaced.
 func TestWeightsFollowSnapshotAndList(t *testing.T) {
 	engine := func(hash uint32) *knowledge.Backend { return &knowledge.Backend{IncarnationHash: hash} }
 	snapshot := func(usual float64) *pace.Snapshot {
@@ -81,7 +81,7 @@
 		{func() { by.snapshot = snapshot(2) }, 0.5},
 		{func() { by.exponent = 2 }, 0.25},
 		{func() { list = []*knowledge.Backend{engine(2)} }, 0.0625}, // restarted under its id
-		{func() { list = []*knowledge.Backend{engine(3)} }, 1},      // tells nothing yet
+		{func() { list = []*knowledge.Backend{engine(3)} }, 1},      // reports nothing yet
 	}
 	for i, step := range steps {
 		step.change()
--- a/internal/gate/request.go
+++ b/internal/gate/request.go
@@ -9,19 +9,19 @@
 	"github.com/bluebellchute/bluebellchute/internal/knowledge"
 )
 
-// Request is a caller's request as the product understands it.
+// Request is a caller's request, independent of its wire format.
 type Request struct {
-	ID       string // of this attempt of the caller's
+	ID       string // of this attempt of the caller
 	Method   string
-	URI      string // path and query as the caller wrote them
+	URI      string // path and query as the caller sent them
 	Path     string // the path alone
 	Host     string
-	Header   http.Header // to be passed on; holds nothing that the system sets
+	Header   http.Header // to be passed on; without the headers that the router sets
 	Body     []byte
 	Key      string
-	Deadline time.Duration // how long the caller waits, 0 if it did not say
+	Deadline time.Duration // how long the caller waits, 0 if not given
 	Prompt   Prompt
-	// LastEventID is the id of the last event that the caller has, "" for none.
+	// LastEventID is the id of the last event that the caller has received, "" for none.
 	LastEventID string
 	Received    boottime.Instant
 
@@ -32,26 +32,25 @@
 	Fingerprint uint64        // the same when the caller sends the request again
 }
 
-// Prompt describes a request for a model. Its zero value stands for a request
-// to a plain service.
+// Prompt describes a model request. Its zero value stands for a request to a plain service.
 type Prompt struct {
 	Tokens    int // of the prompt
-	MaxOutput int // most tokens to be generated
-	// ExpectedOutput is the caller's guess of the tokens to be generated, 0
-	// for none. It is right at the median and often far off.
+	MaxOutput int // maximum number of generated tokens
+	// ExpectedOutput is the caller's estimate of the number of generated tokens, 0 for
+	// none. It is right at the median and often far off.
 	ExpectedOutput int
 	Segments       []PromptSegment
 }
 
-// PromptSegment is a part of a prompt. Requests share parts; a part is kept by an
-// engine only together with all parts before it.
+// PromptSegment is a segment of a prompt. Requests share segments; an engine caches a
+// segment only together with all segments before it.
 type PromptSegment struct {
 	ID     string
 	Tokens int
 }
 
-// SharedSegment returns the last part that other requests have as well, or "".
-// The last part of all belongs to the request or its session alone.
+// SharedSegment returns the id of the last segment that other requests have as well, or "".
+// The last segment of a prompt belongs to the request or its session alone.
 func (p Prompt) SharedSegment() string {
 	switch len(p.Segments) {
 	case 0:
@@ -63,7 +62,7 @@
 	}
 }
 
-// SharedTokens returns the tokens of the parts that other requests share.
+// SharedTokens returns the number of tokens in the shared segments.
 func (p Prompt) SharedTokens() int {
 	shared := 0
 	for i := range len(p.Segments) - 1 {
@@ -72,8 +71,8 @@
 	return shared
 }
 
-// outputTokenWeight is how often a generated token counts where a prompt token
-// counts once: the users' measure of what engines produce.
+// outputTokenWeight is the weight of a generated token where a prompt token counts 1, as
+// the users measure the output of engines.
 const outputTokenWeight = 2
 
 // Cost returns the tokens that the request takes from the fleet's capacity.
@@ -85,14 +84,14 @@
 	return float64(p.Tokens + outputTokenWeight*output)
 }
 
-// countsTowardShare tells whether the request takes of what accounts share: it asks a model
-// for something, with a key.
+// countsTowardShare reports whether the request uses its account's share: it is a model
+// request with a key.
 func (r *Request) countsTowardShare() bool { return r.Account != nil && r.Prompt.Tokens > 0 }
 
-// Idempotent tells whether the request may run more than once.
+// Idempotent reports whether the request may run more than once.
 func (r *Request) Idempotent() bool { return r.Route.Repeat != knowledge.RepeatNever }
 
-// Remaining returns the time that is left for the request at the moment now.
+// Remaining returns the time that remains for the request.
 func (r *Request) Remaining(now boottime.Instant) time.Duration {
 	return r.Timeout - now.Sub(r.Received)
 }
--- a/internal/gate/requestcounts.go
+++ b/internal/gate/requestcounts.go
@@ -11,34 +11,33 @@
 	"github.com/bluebellchute/bluebellchute/internal/fleet"
 )
 
-// maxListedAccounts bounds the accounts of one record, those that asked most. The
-// others are summed up, so that a record stays small with thousands of them.
+// maxListedAccounts bounds the accounts in one log entry to those that requested most. The
+// others are added up, so that an entry stays small with thousands of accounts.
 const maxListedAccounts = 40
 
-// otherAccounts stands for those beyond the bound.
+// otherAccounts stands for the accounts beyond maxListedAccounts.
 const otherAccounts fleet.Account = "(others)"
 
-// RouteCounts counts what became of the requests of one route that ended in a
-// second.
+// RouteCounts counts the outcomes of the requests of one route that ended within a second.
 type RouteCounts struct {
 	InTime       int            `json:"in_time,omitempty"`
 	Late         int            `json:"late,omitempty"`
 	Failed       int            `json:"failed,omitempty"`
-	Disconnected int            `json:"left,omitempty"` // callers that left
+	Disconnected int            `json:"left,omitempty"` // callers that disconnected
 	Refused      map[Reason]int `json:"refused,omitempty"`
 }
 
-// AccountCounts counts the tokens that an account asked for in a second, and
-// those of its requests that were answered in it.
+// AccountCounts counts the tokens that an account requested within a second, and the tokens
+// of its requests that were answered in it.
 type AccountCounts struct {
 	Account   fleet.Account `json:"account"`
 	Requested int64         `json:"asked"`
 	Served    int64         `json:"served"`
 }
 
-// requestCounts counts requests until it is written. Records of single requests are a
-// sample when there are many; this one misses none, whatever the load. Its
-// methods may be called concurrently.
+// requestCounts counts requests until the counts are logged. Log entries on single requests
+// are sampled when there are many; these counts are complete under any load. Its methods
+// may be called concurrently.
 type requestCounts struct {
 	mu       sync.Mutex
 	routes   map[string]*RouteCounts
@@ -118,8 +117,8 @@
 	return known
 }
 
-// write writes what was counted since the last call, with what the decisions
-// rested on, and counts anew.
+// write logs what was counted since the last call, together with the given fields, and
+// resets the counts.
 func (t *requestCounts) write(logger logrus.FieldLogger, fields logrus.Fields) {
 	t.mu.Lock()
 	routes, accounts := t.routes, t.accounts
@@ -133,7 +132,7 @@
 	event.GateRequestCounts.Log(logger, fields)
 }
 
-// largest returns the accounts that asked most, and the others in one sum.
+// largest returns the accounts that requested most, and the sum of the others.
 func largest(accounts map[fleet.Account]*AccountCounts) []AccountCounts {
 	all := make([]AccountCounts, 0, len(accounts))
 	for _, account := range accounts {
--- a/internal/gate/segmentindex.go
+++ b/internal/gate/segmentindex.go
@@ -10,30 +10,29 @@
 	"github.com/bluebellchute/bluebellchute/internal/knowledge"
 )
 
-// maxSegments bounds the prompt parts that a router remembers. Each takes some
-// 200 bytes, and the callers that come to one router share far fewer.
+// maxSegments bounds the prompt segments that a router remembers. Each takes some 200
+// bytes, and the callers of one router share far fewer.
 const maxSegments = 4096
 
-// segmentIndex remembers at which engine a prompt part was read last for a caller of
-// this router. The order of a part's key alone does not tell that: when its first
-// home was full, the part is at the second, or further on.
-//
-// Without it, the first home reads anew what the second one keeps, most of all under
-// high load. It may be used concurrently.
+// segmentIndex records which engine was the last to read a prompt segment for a caller of
+// this router. The hash order of the segment alone does not tell: while its preferred
+// engine was full, the second one or a later one read it. Without the index, the preferred
+// engine would read again what another one caches, most of all under high load. It may be
+// used concurrently.
 type segmentIndex struct {
-	engines *lru.Cache[string, cacheHolder] // by the part's id
+	engines *lru.Cache[string, cacheHolder] // by segment id
 
 	mu     sync.Mutex
-	demand *lru.Cache[string, *segmentDemand] // by the part's id
+	demand *lru.Cache[string, *segmentDemand] // by segment id
 }
 
-// segmentDemand is how often a part is asked for.
+// segmentDemand records how often a segment is requested.
 type segmentDemand struct {
 	lastRequest boottime.Instant
 	interval    time.Duration // decayed mean, 0 before the second request
 }
 
-// cacheHolder is one start of a backend server.
+// cacheHolder identifies one incarnation of a backend server.
 type cacheHolder struct{ id, incarnation string }
 
 func newSegmentIndex() *segmentIndex {
@@ -41,23 +40,24 @@
 	if err != nil {
 		panic(err) // the size is a constant above 0
 	}
-	asks, err := lru.New[string, *segmentDemand](maxSegments)
+	demand, err := lru.New[string, *segmentDemand](maxSegments)
 	if err != nil {
 		panic(err) // as above
 	}
-	return &segmentIndex{engines: engines, demand: asks}
+	return &segmentIndex{engines: engines, demand: demand}
 }
 
-// recordRequest notes a request for the part and returns whether the part is asked for often.
-func (k *segmentIndex) recordRequest(segment string, now boottime.Instant) bool {
+// recordRequest records a request for the segment and reports whether the segment is
+// requested frequently.
+func (s *segmentIndex) recordRequest(segment string, now boottime.Instant) bool {
 	if segment == "" {
 		return false
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	known, ok := k.demand.Get(segment)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	known, ok := s.demand.Get(segment)
 	if !ok {
-		k.demand.Add(segment, &segmentDemand{lastRequest: now})
+		s.demand.Add(segment, &segmentDemand{lastRequest: now})
 		return false
 	}
 	elapsed := now.Sub(known.lastRequest)
@@ -70,18 +70,18 @@
 	return known.interval < hotInterval
 }
 
-// recordRead notes that the backend server has read the part.
-func (k *segmentIndex) recordRead(segment string, backend *knowledge.Backend) {
+// recordRead records that the backend server has read the segment.
+func (s *segmentIndex) recordRead(segment string, backend *knowledge.Backend) {
 	if segment == "" {
 		return
 	}
-	k.engines.Add(segment, cacheHolder{id: backend.ID, incarnation: backend.Incarnation})
+	s.engines.Add(segment, cacheHolder{id: backend.ID, incarnation: backend.Incarnation})
 }
 
-// cacheHolder returns the backend server that read the part last, nil when none is known
-// or it has gone or started again since.
-func (k *segmentIndex) cacheHolder(segment string, view *knowledge.View) *knowledge.Backend {
-	known, ok := k.engines.Get(segment)
+// cacheHolder returns the backend server that was the last to read the segment, nil if it
+// is unknown, gone or has restarted since.
+func (s *segmentIndex) cacheHolder(segment string, view *knowledge.View) *knowledge.Backend {
+	known, ok := s.engines.Get(segment)
 	if !ok {
 		return nil
 	}
--- a/internal/gate/segmentindex_test.go
+++ b/internal/gate/segmentindex_test.go
@@ -9,11 +9,9 @@
 	"github.com/bluebellchute/bluebellchute/internal/selection"
 )
 
-// Symptom: engines read shared parts anew that another one keeps.
-// Events: the engine that a part's key prefers is full, so the next one reads the
-// part; when the first has room again, the part's requests go there.
-// Cause: where a part was read was known from the order of its key alone, which
-// names the preferred engine.
+// Guards against reading shared segments again that another engine caches. While the
+// preferred engine is full, the next one reads the segment; when the first has room again,
+// the hash order alone names it as the holder.
 func TestSegmentsAreFetchedFromWhereTheyWereRead(t *testing.T) {
 	a, view, request := benchAdmission(6, 1, 4, BackendLoad{})
 	usable := view.Serving["s"]
@@ -35,11 +33,11 @@
 		t.Fatalf("placed %+v, refused %+v; want the first engine", placed, refusal)
 	}
 	if placed.fetchSource != second.Address {
-		t.Errorf("parts are fetched from %q, want %q", placed.fetchSource, second.Address)
+		t.Errorf("segments are fetched from %q, want %q", placed.fetchSource, second.Address)
 	}
 }
 
-// segmentPreferring returns the id of a part that the backend server is preferred for.
+// segmentPreferring returns the id of a segment whose preferred engine is the given one.
 func segmentPreferring(usable []*knowledge.Backend, engine *knowledge.Backend) string {
 	for i := 0; ; i++ {
 		id := fmt.Sprint("part", i)
@@ -49,7 +47,7 @@
 	}
 }
 
-// An engine that started again keeps nothing.
+// A restarted engine caches nothing.
 func TestRestartedEngineCachesNothing(t *testing.T) {
 	state := knowledge.NewState()
 	backend := knowledge.Backend{ID: "i", Service: "s", Address: "10.0.0.1:1", StartedAt: 1}
@@ -58,11 +56,11 @@
 	before := state.View()
 	index.recordRead("part", before.Backends["i"])
 	if index.cacheHolder("part", before) != before.Backends["i"] || index.cacheHolder("other", before) != nil {
-		t.Error("the engine that read the part is not the one that keeps it")
+		t.Error("the cache holder is not the engine that read the segment")
 	}
 	backend.StartedAt = 2
 	state.SetBackends([]knowledge.Backend{backend}, knowledge.Position{Revision: 2}, boottime.Now())
-	if keeper := index.cacheHolder("part", state.View()); keeper != nil {
-		t.Errorf("%+v keeps a part that its start before it read", keeper)
+	if holder := index.cacheHolder("part", state.View()); holder != nil {
+		t.Errorf("%+v is the holder of a segment that its former incarnation read", holder)
 	}
 }
--- a/internal/gate/streamtiming.go
+++ b/internal/gate/streamtiming.go
@@ -6,11 +6,11 @@
 	"github.com/bluebellchute/bluebellchute/internal/boottime"
 )
 
-// streamTiming watches whether the events of a stream come in time.
+// streamTiming records whether the events of a stream arrive in time.
 type streamTiming struct {
-	firstDeadline boottime.Instant // until when the first event is in time, 0 for always
-	maxGap        time.Duration    // longest pause in time, 0 for any
-	last          boottime.Instant // when the last event came, 0 before the first
+	firstDeadline boottime.Instant // of the first event, 0 for none
+	maxGap        time.Duration    // maximum time between two events, 0 for none
+	last          boottime.Instant // when the last event arrived, 0 before the first
 	late          bool
 }
 
@@ -22,7 +22,7 @@
 	return p
 }
 
-// recordEvent takes the moment of an event and returns whether it is the first.
+// recordEvent records the time of an event and reports whether it is the first.
 func (p *streamTiming) recordEvent(now boottime.Instant) bool {
 	began := p.last == 0
 	switch {
--- a/internal/gate/unavailable.go
+++ b/internal/gate/unavailable.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	// indefinitely is the end of a closure of a backend server that leaves.
+	// indefinitely is the end of the unavailability of a draining backend server.
 	indefinitely = boottime.Instant(math.MaxInt64)
-	// unlistedTTL is how long a closure is remembered of a backend server that is no
-	// longer listed: longer than entries take that lapse in an outage of the store and
-	// are written again.
+	// unlistedTTL is how long the unavailability of an unlisted backend server is
+	// remembered. Entries that expire in an outage of the store are written again within a
+	// shorter time.
 	unlistedTTL = time.Minute
 )
 
-// unavailability tells that a backend server wants nothing new.
+// unavailability is the time for which a backend server rejects new requests.
 type unavailability struct {
 	until         boottime.Instant
-	unlistedSince boottime.Instant // since when the backend server is not listed, 0 if it is
+	unlistedSince boottime.Instant // 0 while the backend server is listed
 }
 
-// unavailableServers are the backend servers that have said in their answers that they want nothing
-// new, by their incarnations. The store may tell that one leaves much later: while it is
-// away, answers are the only word of it, and a router that does not heed them goes on
-// sending requests to a server that ends under them. Its methods may be called
+// unavailableServers holds the backend servers that reported in answers that they reject
+// new requests, by incarnation. The store may report a draining server much later. During
+// an outage of the store, answers are the only source, and a router that ignored them would
+// go on sending requests to a server that stops while they run. Its methods may be called
 // concurrently.
 type unavailableServers struct {
 	mu    sync.Mutex
@@ -39,62 +39,62 @@
 	return &unavailableServers{known: make(map[string]unavailability)}
 }
 
-// add notes that a backend server wants nothing until the moment. It returns whether it
-// was open before.
-func (c *unavailableServers) add(incarnation string, until, now boottime.Instant) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	known := c.known[incarnation]
+// add records that a backend server rejects requests until the given time. It reports
+// whether the server was available before.
+func (u *unavailableServers) add(incarnation string, until, now boottime.Instant) bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	known := u.known[incarnation]
 	wasAvailable := known.until <= now
 	known.until = max(known.until, until)
-	c.known[incarnation] = known
+	u.known[incarnation] = known
 	return wasAvailable
 }
 
-// at returns until when backend servers are closed at the moment, by incarnation, nil if
-// none is.
-func (c *unavailableServers) at(now boottime.Instant) map[string]boottime.Instant {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+// at returns the backend servers that are unavailable at the given time, by incarnation,
+// and until when they are. It returns nil if there are none.
+func (u *unavailableServers) at(now boottime.Instant) map[string]boottime.Instant {
+	u.mu.Lock()
+	defer u.mu.Unlock()
 	var unavailable map[string]boottime.Instant
-	for incarnation, known := range c.known {
+	for incarnation, known := range u.known {
 		if now >= known.until {
-			delete(c.known, incarnation)
+			delete(u.known, incarnation)
 			continue
 		}
 		if unavailable == nil {
-			unavailable = make(map[string]boottime.Instant, len(c.known))
+			unavailable = make(map[string]boottime.Instant, len(u.known))
 		}
 		unavailable[incarnation] = known.until
 	}
 	return unavailable
 }
 
-// has tells whether a backend server is closed at the moment.
-func (c *unavailableServers) has(incarnation string, now boottime.Instant) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return now < c.known[incarnation].until
+// has reports whether a backend server is unavailable at the given time.
+func (u *unavailableServers) has(incarnation string, now boottime.Instant) bool {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	return now < u.known[incarnation].until
 }
 
-// prune forgets backend servers that have not been listed for long.
-func (c *unavailableServers) prune(backends map[string]*knowledge.Backend, now boottime.Instant) {
+// prune removes backend servers that have been unlisted for longer than unlistedTTL.
+func (u *unavailableServers) prune(backends map[string]*knowledge.Backend, now boottime.Instant) {
 	listed := make(map[string]bool, len(backends))
 	for _, backend := range backends {
 		listed[backend.Incarnation] = true
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for incarnation, known := range c.known {
+	u.mu.Lock()
+	defer u.mu.Unlock()
+	for incarnation, known := range u.known {
 		switch {
 		case listed[incarnation]:
 			known.unlistedSince = 0
 		case known.unlistedSince == 0:
 			known.unlistedSince = now
 		}
-		c.known[incarnation] = known
+		u.known[incarnation] = known
 	}
-	maps.DeleteFunc(c.known, func(_ string, known unavailability) bool {
+	maps.DeleteFunc(u.known, func(_ string, known unavailability) bool {
 		return known.unlistedSince != 0 && now.Sub(known.unlistedSince) > unlistedTTL
 	})
 }
