--- a/internal/backendconn/conn.go
+++ b/internal/backendconn/conn.go
@@ -13,21 +13,19 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection. One lost opening packet
-	// is sent again after a second, so a longer wait would rarely succeed
-	// inside the time that callers have.
+	// dialTimeout bounds opening a connection. A lost SYN is sent again after a second, so
+	// a longer timeout would rarely succeed within the time limits of callers.
 	dialTimeout = 600 * time.Millisecond
-	// userTimeout ends a connection whose peer has acknowledged nothing for so
-	// long. Without it a peer behind a partition blocks a request until its
-	// deadline.
+	// userTimeout closes a connection whose peer has acknowledged nothing for so long.
+	// Without it, a request to a peer behind a partition would block until its deadline.
 	userTimeout = 2500 * time.Millisecond
-	// keepAliveIdle and keepAliveInterval make the kernel ask a silent peer
-	// whether it is there. A connection that something on the way has lost
-	// track of is found within about three seconds.
+	// keepAliveIdle, keepAliveInterval and keepAliveCount make the kernel probe an idle
+	// peer. A connection whose state was lost in the network is detected within about three
+	// seconds.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
-	// readBufferSize holds the head of an answer and several events.
+	// readBufferSize fits the head of an answer and several events.
 	readBufferSize = 4096
 )
 
@@ -35,15 +33,14 @@
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// usableUntil is the moment from which the peer may close the idle
-	// connection.
+	// usableUntil is the time after which the peer may close the idle connection.
 	usableUntil boottime.Instant
-	// idleSince is the end of the last answer, stated the idle timeout that the
-	// peer named with it, 0 for none.
-	idleSince boottime.Instant
-	stated    time.Duration
-	// aborted becomes true when this router starts to close the connection
-	// before its answer has ended.
+	// idleSince is when the last answer ended. statedTimeout is the idle timeout in its
+	// Keep-Alive header, 0 for none.
+	idleSince     boottime.Instant
+	statedTimeout time.Duration
+	// aborted becomes true when this router starts to close the connection before its
+	// answer has ended.
 	aborted atomic.Bool
 }
 
@@ -61,41 +58,41 @@
 }
 
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
-	var failure error
+	var sockoptErr error
 	err := raw.Control(func(fd uintptr) {
-		failure = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
+		sockoptErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failure
+	return sockoptErr
 }
 
-// abort closes the connection and drops what has not been delivered. A plain
-// close would go on sending: behind a partition that heals, a request would
-// arrive long after its caller has left.
+// abort closes the connection and discards data that has not been delivered. A plain close
+// would keep sending it: after a partition, a request would arrive long after its caller
+// has disconnected.
 func (c *conn) abort() {
 	c.aborted.Store(true)
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // fails on a closed connection only
+		_ = tcp.SetLinger(0) // fails only on a closed connection
 	}
-	_ = c.Close() // it is unusable whatever closing says
+	_ = c.Close() // the connection is unusable either way
 }
 
-// unusable returns why an idle connection can't be used again, or "".
-func (c *conn) unusable(now boottime.Instant) Reason {
+// unusableReason returns why an idle connection can't be reused, or "".
+func (c *conn) unusableReason(now boottime.Instant) Reason {
 	switch {
 	case now >= c.usableUntil:
 		return ReasonExpired
-	case !c.silent():
+	case !c.isQuiet():
 		return ReasonClosed
 	}
 	return ""
 }
 
-// failure returns the reason that an error of a read or write stands for. An
-// error that this router caused by closing the connection is none of the peer's.
-func (c *conn) failure() Reason {
+// failureReason returns the reason for an error of a read or write. An error that this
+// router caused by closing the connection does not count as the peer's.
+func (c *conn) failureReason() Reason {
 	if c.aborted.Load() {
 		return ReasonAbandoned
 	}
@@ -104,13 +101,13 @@
 
 // ending describes the end of the connection.
 func (c *conn) ending(reason Reason, now boottime.Instant) ending {
-	return ending{reason: reason, at: now, idleSince: c.idleSince, stated: c.stated}
+	return ending{reason: reason, at: now, idleSince: c.idleSince, statedTimeout: c.statedTimeout}
 }
 
-// silent tells whether an idle connection has neither bytes to read nor been
-// closed. Bytes on an idle connection belong to no request, and a request
-// written to a closed connection can't be told from one that has run.
-func (c *conn) silent() bool {
+// isQuiet reports whether an idle connection is open and has no bytes to read. Bytes on an
+// idle connection belong to no request. A request written to a closed connection must be
+// avoided because it can't be told from one that has run.
+func (c *conn) isQuiet() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -122,12 +119,12 @@
 	if err != nil {
 		return false
 	}
-	empty := false
+	quiet := false
 	err = raw.Read(func(fd uintptr) bool {
 		var one [1]byte
 		_, _, err := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		empty = err == unix.EAGAIN
+		quiet = err == unix.EAGAIN
 		return true
 	})
-	return err == nil && empty
+	return err == nil && quiet
 }
--- a/internal/backendconn/errors.go
+++ b/internal/backendconn/errors.go
@@ -6,16 +6,16 @@
 	"github.com/bluebellchute/bluebellchute/internal/fleet"
 )
 
-// Progress tells how far a failed request got.
+// Progress says how far a failed request got.
 type Progress int
 
 // The steps of a request at which it can fail.
 const (
-	// ProgressNone means that no byte left this process: it did not run.
+	// ProgressNone means that no byte was sent: the request did not run.
 	ProgressNone Progress = iota
-	// ProgressSent means that it may have arrived, and may have run.
+	// ProgressSent means that the request may have arrived and run.
 	ProgressSent
-	// ProgressAnswered means that the head of an answer had arrived.
+	// ProgressAnswered means that the head of an answer was received.
 	ProgressAnswered
 )
 
@@ -31,12 +31,12 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.cause }
 
-func failed(err error, progress Progress, step fleet.Step, peer fleet.Address) error {
+func newError(err error, progress Progress, step fleet.Step, peer fleet.Address) error {
 	return &Error{Progress: progress, cause: fleet.Wrap(err, step, peer)}
 }
 
-// ProgressOf returns how far the request got that ended with the error. An
-// error of another package counts as ProgressSent, the careful guess.
+// ProgressOf returns how far the request got that failed with the error. For an error of
+// another package it returns ProgressSent, the conservative assumption.
 func ProgressOf(err error) Progress {
 	var failure *Error
 	if errors.As(err, &failure) {
--- a/internal/backendconn/exchange.go
+++ b/internal/backendconn/exchange.go
@@ -17,78 +17,78 @@
 )
 
 const (
-	// smallRequest is the size up to which a request is written before its
-	// answer is read. A larger one may fill the connection's window while the
-	// backend server waits for its early answer to be read.
-	smallRequest = 4096
-	// strayAnswers is how many answers to earlier requests are passed over on
-	// one connection.
-	strayAnswers = 2
+	// maxSynchronousRequest is the size up to which a request is written before its answer
+	// is read. A larger one may fill the connection's window while the backend server waits
+	// for its early answer to be read.
+	maxSynchronousRequest = 4096
+	// maxStrayAnswers is how many answers to earlier requests are skipped on one
+	// connection.
+	maxStrayAnswers = 2
 )
 
-// Request is a request in the form in which it is sent.
+// Request is a request as it is sent.
 type Request struct {
 	Method string
-	URI    string // path and query as the caller wrote them
+	URI    string // path and query as sent by the caller
 	Host   string
 	Header http.Header // without Host and Content-Length
 	Body   []byte
-	// MatchesRequest tells by its header whether an answer belongs to this request.
+	// MatchesRequest reports by its header whether an answer belongs to this request.
 	MatchesRequest func(header http.Header) bool
-	// MaxConnections bounds the connections to the backend server.
+	// MaxConnections bounds the connections to the backend server, 0 for no bound.
 	MaxConnections int
-	// BeforeSend is asked once the connection is open; an error means that nothing is sent.
-	// nil for nothing to ask.
+	// BeforeSend is called once the connection is open. If it returns an error, nothing is
+	// sent. It may be nil.
 	BeforeSend func() error
-	// OnSend is called right before the first byte is sent; nil for nothing.
+	// OnSend is called right before the first byte is sent. It may be nil.
 	OnSend func()
 }
 
-// Answer is the head of an answer and the means to read its body.
+// Answer is the head of an answer with a reader for its body.
 type Answer struct {
 	Status int
 	Header http.Header
 	// Length is the length of the body, -1 if unknown.
 	Length int64
 
-	body     io.ReadCloser
-	pool     *Pool
-	address  fleet.Address
-	conn     *conn
-	stop     func() bool
-	written  *atomic.Bool
-	keep     bool
-	reusable time.Duration
-	ended    bool
-	broken   bool // reading the body failed, and not because of this router
+	body          io.ReadCloser
+	pool          *Pool
+	address       fleet.Address
+	conn          *conn
+	stop          func() bool
+	written       *atomic.Bool
+	keepAlive     bool
+	statedTimeout time.Duration
+	complete      bool
+	broken        bool // reading the body failed because of the peer
 }
 
-// ErrCallerDisconnected tells that the caller left before anything was sent.
-var ErrCallerDisconnected = errors.New("the caller has left")
+// ErrCallerDisconnected says that the caller disconnected before anything was sent.
+var ErrCallerDisconnected = errors.New("the caller has disconnected")
 
-// check returns why the request is not to be sent, or nil.
-func (r *Request) check() error {
+// checkBeforeSend returns why the request must not be sent, or nil.
+func (r *Request) checkBeforeSend() error {
 	if r.BeforeSend == nil {
 		return nil
 	}
 	return r.BeforeSend()
 }
 
-// Do sends the request to the address and returns the head of its answer. The
-// caller must Close the answer. Once the context ends, the connection is
-// closed, which makes the backend server stop.
+// Do sends the request to the address and returns the head of its answer, which the caller
+// must Close. When the context ends, the connection is closed, which makes the backend
+// server stop.
 func (p *Pool) Do(ctx context.Context, address fleet.Address, request *Request) (*Answer, error) {
 	c, err := p.get(ctx, address, request.MaxConnections)
 	if err != nil {
-		return nil, failed(err, ProgressNone, fleet.StepSend, address)
+		return nil, newError(err, ProgressNone, fleet.StepSend, address)
 	}
 	if ctx.Err() != nil {
 		p.discard(address, c, ReasonAbandoned)
-		return nil, failed(ctx.Err(), ProgressNone, fleet.StepSend, address)
+		return nil, newError(ctx.Err(), ProgressNone, fleet.StepSend, address)
 	}
-	if err := request.check(); err != nil {
+	if err := request.checkBeforeSend(); err != nil {
 		p.discard(address, c, ReasonAbandoned)
-		return nil, failed(err, ProgressNone, fleet.StepSend, address)
+		return nil, newError(err, ProgressNone, fleet.StepSend, address)
 	}
 	if request.OnSend != nil {
 		request.OnSend()
@@ -97,35 +97,35 @@
 	written := new(atomic.Bool)
 	if err := write(c, request, written); err != nil {
 		stop()
-		p.discard(address, c, c.failure())
-		return nil, failed(err, ProgressSent, fleet.StepSend, address)
+		p.discard(address, c, c.failureReason())
+		return nil, newError(err, ProgressSent, fleet.StepSend, address)
 	}
 	response, err := readHead(c, request)
 	if err != nil {
 		stop()
-		p.discard(address, c, c.failure())
-		return nil, failed(err, ProgressSent, fleet.StepAnswer, address)
+		p.discard(address, c, c.failureReason())
+		return nil, newError(err, ProgressSent, fleet.StepAnswer, address)
 	}
 	return &Answer{
-		Status:   response.StatusCode,
-		Header:   response.Header,
-		Length:   response.ContentLength,
-		body:     response.Body,
-		pool:     p,
-		address:  address,
-		conn:     c,
-		stop:     stop,
-		written:  written,
-		keep:     !response.Close,
-		reusable: statedTimeout(response.Header),
+		Status:        response.StatusCode,
+		Header:        response.Header,
+		Length:        response.ContentLength,
+		body:          response.Body,
+		pool:          p,
+		address:       address,
+		conn:          c,
+		stop:          stop,
+		written:       written,
+		keepAlive:     !response.Close,
+		statedTimeout: parseKeepAliveTimeout(response.Header),
 	}, nil
 }
 
-// write sends the request. written becomes true once all of it has been handed
-// to the connection.
+// write sends the request. written becomes true once all of it has been passed to the
+// connection.
 func write(c *conn, request *Request, written *atomic.Bool) error {
 	data := encode(request)
-	if len(data) <= smallRequest {
+	if len(data) <= maxSynchronousRequest {
 		if _, err := c.Write(data); err != nil {
 			return err
 		}
@@ -133,7 +133,7 @@
 		return nil
 	}
 	go func() {
-		// A failure shows to the reader, as the connection is broken then.
+		// The reader sees a failure too, since the connection is broken then.
 		if _, err := c.Write(data); err == nil {
 			written.Store(true)
 		}
@@ -168,18 +168,18 @@
 	return out.Bytes()
 }
 
-// hasBody tells whether requests of the method have a body by their nature.
+// hasBody reports whether requests of the method normally have a body.
 func hasBody(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
-// readHead reads the head of the answer to the request. An answer to an
-// earlier request that comes late on the same connection is passed over: it
-// would else be taken for this one's.
+// readHead reads the head of the answer to the request. It skips late answers to earlier
+// requests on the same connection, which would otherwise be taken for the answer to this
+// one.
 func readHead(c *conn, request *Request) (*http.Response, error) {
-	asked := &http.Request{Method: request.Method}
-	for range strayAnswers + 1 {
-		response, err := http.ReadResponse(c.reader, asked)
+	sent := &http.Request{Method: request.Method}
+	for range maxStrayAnswers + 1 {
+		response, err := http.ReadResponse(c.reader, sent)
 		if err != nil {
 			return nil, err
 		}
@@ -199,49 +199,49 @@
 	return nil, errors.New("the answer belongs to another request")
 }
 
-// Read reads the body. It returns io.EOF only at the end of a whole body.
+// Read reads the body. It returns io.EOF only at the end of a complete body.
 func (a *Answer) Read(p []byte) (int, error) {
 	n, err := a.body.Read(p)
 	if err == io.EOF {
-		a.ended = true
+		a.complete = true
 		return n, io.EOF
 	}
 	if err != nil {
-		a.broken = a.broken || a.conn.failure() == ReasonBroken
-		err = failed(err, ProgressAnswered, fleet.StepAnswer, a.address)
+		a.broken = a.broken || a.conn.failureReason() == ReasonBroken
+		err = newError(err, ProgressAnswered, fleet.StepAnswer, a.address)
 	}
 	return n, err
 }
 
-// Close gives the connection back when the whole body has been read, and
-// closes it otherwise, which makes the backend server stop.
+// Close returns the connection to the pool if the complete body has been read. Otherwise it
+// closes the connection, which makes the backend server stop.
 func (a *Answer) Close() {
 	stopped := a.stop()
-	clean := a.ended && a.keep && stopped && a.written.Load() && a.conn.reader.Buffered() == 0
+	clean := a.complete && a.keepAlive && stopped && a.written.Load() && a.conn.reader.Buffered() == 0
 	if !clean {
-		a.conn.idleSince, a.conn.stated = boottime.Now(), a.reusable
-		a.pool.discard(a.address, a.conn, a.unclean(stopped))
+		a.conn.idleSince, a.conn.statedTimeout = boottime.Now(), a.statedTimeout
+		a.pool.discard(a.address, a.conn, a.closeReason(stopped))
 		return
 	}
-	a.pool.put(a.address, a.conn, a.reusable)
+	a.pool.put(a.address, a.conn, a.statedTimeout)
 }
 
-// unclean returns why the connection is not kept. stopped tells that the context
-// had not ended.
-func (a *Answer) unclean(stopped bool) Reason {
+// closeReason returns why the connection is not reused. stopped says that the context had
+// not ended.
+func (a *Answer) closeReason(stopped bool) Reason {
 	switch {
 	case a.broken:
 		return ReasonBroken
-	case a.ended && stopped && a.written.Load():
+	case a.complete && stopped && a.written.Load():
 		return ReasonClosed // announced by the peer, or bytes follow the answer
 	}
 	return ReasonAbandoned
 }
 
-// statedTimeout returns the idle timeout of a Keep-Alive header.
-func statedTimeout(header http.Header) time.Duration {
-	for _, part := range strings.Split(header.Get("Keep-Alive"), ",") {
-		name, value, found := strings.Cut(strings.TrimSpace(part), "=")
+// parseKeepAliveTimeout returns the idle timeout in a Keep-Alive header, 0 for none.
+func parseKeepAliveTimeout(header http.Header) time.Duration {
+	for _, directive := range strings.Split(header.Get("Keep-Alive"), ",") {
+		name, value, found := strings.Cut(strings.TrimSpace(directive), "=")
 		if !found || !strings.EqualFold(name, "timeout") {
 			continue
 		}
--- a/internal/backendconn/exchange_test.go
+++ b/internal/backendconn/exchange_test.go
@@ -17,22 +17,22 @@
 	"github.com/bluebellchute/bluebellchute/internal/fleet"
 )
 
-// scripted serves connections with a function and counts them.
-type scripted struct {
+// scriptedServer serves connections with a function and counts them.
+type scriptedServer struct {
 	address fleet.Address
 	conns   atomic.Int32
 }
 
-// serve starts a backend server that handles each connection with the
-// function. The reader holds what has arrived.
-func serve(t *testing.T, handle func(conn net.Conn, reader *bufio.Reader)) *scripted {
+// serve starts a backend server that handles each connection with the function. The reader
+// reads what has arrived.
+func serve(t *testing.T, handle func(conn net.Conn, reader *bufio.Reader)) *scriptedServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { listener.Close() })
-	server := &scripted{address: fleet.Address(listener.Addr().String())}
+	server := &scriptedServer{address: fleet.Address(listener.Addr().String())}
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -49,7 +49,7 @@
 	return server
 }
 
-// readRequest reads one request with its body, or returns nil at the end.
+// readRequest reads one request with its body. It returns nil at the end.
 func readRequest(reader *bufio.Reader) *http.Request {
 	request, err := http.ReadRequest(reader)
 	if err != nil {
@@ -61,7 +61,7 @@
 	return request
 }
 
-func ask(id string) *Request {
+func newRequest(id string) *Request {
 	return &Request{
 		Method:         http.MethodPost,
 		URI:            "/a/b?c=d",
@@ -72,7 +72,7 @@
 	}
 }
 
-// exchange sends a request and reads its whole answer.
+// exchange sends a request and reads its complete answer.
 func exchange(t *testing.T, pool *Pool, address fleet.Address, request *Request) (string, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -92,7 +92,7 @@
 
 func itoa(n int) string { return string(rune('0'+n/10)) + string(rune('0'+n%10)) }
 
-func TestConnectionIsUsedAgain(t *testing.T) {
+func TestConnectionIsReused(t *testing.T) {
 	server := serve(t, func(conn net.Conn, reader *bufio.Reader) {
 		for request := readRequest(reader); request != nil; request = readRequest(reader) {
 			io.WriteString(conn, answer(request.Header.Get("Id"), "whole"))
@@ -100,7 +100,7 @@
 	})
 	pool := NewPool()
 	for _, id := range []string{"1", "2", "3"} {
-		body, err := exchange(t, pool, server.address, ask(id))
+		body, err := exchange(t, pool, server.address, newRequest(id))
 		if err != nil || body != "whole" {
 			t.Fatalf("answer %q, %v", body, err)
 		}
@@ -110,11 +110,9 @@
 	}
 }
 
-// Symptom: a caller gets the answer to an earlier request.
-// Events: a backend server sends a second answer to a request, late; the next
-// request on the connection reads it first.
-// Cause: answers were matched with requests by their order.
-func TestStrayAnswerIsPassedOver(t *testing.T) {
+// A backend server sends a late second answer to a request. If answers were matched with
+// requests by order, the next caller on the connection would get it.
+func TestStrayAnswerIsSkipped(t *testing.T) {
 	server := serve(t, func(conn net.Conn, reader *bufio.Reader) {
 		readRequest(reader)
 		io.WriteString(conn, answer("1", "first"))
@@ -123,19 +121,18 @@
 		readRequest(reader)
 	})
 	pool := NewPool()
-	if _, err := exchange(t, pool, server.address, ask("1")); err != nil {
+	if _, err := exchange(t, pool, server.address, newRequest("1")); err != nil {
 		t.Fatal(err)
 	}
-	body, err := exchange(t, pool, server.address, ask("2"))
+	body, err := exchange(t, pool, server.address, newRequest("2"))
 	if err != nil || body != "second" {
 		t.Errorf("answer %q, %v, want the second request's", body, err)
 	}
 }
 
-// Symptom: a caller's request fails, or is mixed with bytes of another answer.
-// Events: bytes arrive on an idle connection; the connection is used again.
-// Cause: the bytes belong to no request.
-func TestConnectionWithStrayBytesIsNotUsedAgain(t *testing.T) {
+// Bytes arrive on an idle connection. They belong to no request and would be mixed into the
+// next answer.
+func TestConnectionWithStrayBytesIsNotReused(t *testing.T) {
 	server := serve(t, func(conn net.Conn, reader *bufio.Reader) {
 		id := readRequest(reader).Header.Get("Id")
 		io.WriteString(conn, answer(id, "whole"))
@@ -144,11 +141,11 @@
 		time.Sleep(time.Second)
 	})
 	pool := NewPool()
-	if _, err := exchange(t, pool, server.address, ask("1")); err != nil {
+	if _, err := exchange(t, pool, server.address, newRequest("1")); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(150 * time.Millisecond)
-	body, err := exchange(t, pool, server.address, ask("2"))
+	body, err := exchange(t, pool, server.address, newRequest("2"))
 	if err != nil || body != "whole" {
 		t.Errorf("answer %q, %v", body, err)
 	}
@@ -157,25 +154,24 @@
 	}
 }
 
-// Symptom: a request that may run once only can't be sent again.
-// Events: the backend server closes an idle connection; a request is written
-// to it and gets no answer.
-// Cause: it can't be told whether the request arrived before the close.
-func TestClosedIdleConnectionIsNoticed(t *testing.T) {
+// The backend server closes an idle connection. A request written to it gets no answer, and
+// one that may run only once can't be sent again because it may have arrived before the
+// close.
+func TestClosedIdleConnectionIsDetected(t *testing.T) {
 	server := serve(t, func(conn net.Conn, reader *bufio.Reader) {
 		id := readRequest(reader).Header.Get("Id")
 		io.WriteString(conn, answer(id, "whole"))
 	})
 	pool := NewPool()
 	for _, id := range []string{"1", "2"} {
-		if _, err := exchange(t, pool, server.address, ask(id)); err != nil {
+		if _, err := exchange(t, pool, server.address, newRequest(id)); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
 }
 
-func TestAnswerThatBreaksOffIsNoWholeAnswer(t *testing.T) {
+func TestTruncatedAnswerIsAnError(t *testing.T) {
 	for name, text := range map[string]string{
 		"by length": "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 10\r\n\r\nhalf",
 		"by chunks": "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
@@ -185,9 +181,9 @@
 				readRequest(reader)
 				io.WriteString(conn, text)
 			})
-			_, err := exchange(t, NewPool(), server.address, ask("1"))
+			_, err := exchange(t, NewPool(), server.address, newRequest("1"))
 			if err == nil {
-				t.Fatal("it was taken for a whole answer")
+				t.Fatal("it was taken for a complete answer")
 			}
 			if got := ProgressOf(err); got != ProgressAnswered {
 				t.Errorf("progress %v, want answered", got)
@@ -201,24 +197,23 @@
 		readRequest(reader)
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nId: 1\r\n\r\nwhole")
 	})
-	body, err := exchange(t, NewPool(), server.address, ask("1"))
+	body, err := exchange(t, NewPool(), server.address, newRequest("1"))
 	if err != nil || body != "whole" {
 		t.Errorf("answer %q, %v", body, err)
 	}
 }
 
-// Symptom: an answer that is cut short looks complete.
-// Events: an answer without a length is reset on its way.
-// Cause: a reset was taken for the end.
-func TestAnswerWithoutLengthThatIsResetIsNotWhole(t *testing.T) {
+// A reset of an answer without a length must not be taken for its end, or a truncated
+// answer looks complete.
+func TestResetAnswerWithoutLengthIsAnError(t *testing.T) {
 	server := serve(t, func(conn net.Conn, reader *bufio.Reader) {
 		readRequest(reader)
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nId: 1\r\n\r\nhalf")
 		time.Sleep(50 * time.Millisecond)
 		conn.(*net.TCPConn).SetLinger(0)
 	})
-	if body, err := exchange(t, NewPool(), server.address, ask("1")); err == nil {
-		t.Errorf("%q was taken for a whole answer", body)
+	if body, err := exchange(t, NewPool(), server.address, newRequest("1")); err == nil {
+		t.Errorf("%q was taken for a complete answer", body)
 	}
 }
 
@@ -229,7 +224,7 @@
 	}
 	address := fleet.Address(listener.Addr().String())
 	listener.Close()
-	_, err = exchange(t, NewPool(), address, ask("1"))
+	_, err = exchange(t, NewPool(), address, newRequest("1"))
 	if got := ProgressOf(err); err == nil || got != ProgressNone {
 		t.Errorf("progress %v, %v, want none", got, err)
 	}
@@ -237,15 +232,14 @@
 
 func TestResetAfterTheRequestMeansItMayHaveRun(t *testing.T) {
 	server := serve(t, func(conn net.Conn, reader *bufio.Reader) { readRequest(reader) })
-	_, err := exchange(t, NewPool(), server.address, ask("1"))
+	_, err := exchange(t, NewPool(), server.address, newRequest("1"))
 	if got := ProgressOf(err); err == nil || got != ProgressSent {
 		t.Errorf("progress %v, %v, want sent", got, err)
 	}
 }
 
-// Symptom: a backend server works for callers that have left.
-// Events: the caller leaves while its request runs.
-// Cause: the connection to the backend server stayed open.
+// When the caller disconnects while its request runs, the connection to the backend server
+// must close, or the server works for nobody.
 func TestEndOfContextClosesTheConnection(t *testing.T) {
 	closed := make(chan error, 1)
 	server := serve(t, func(conn net.Conn, reader *bufio.Reader) {
@@ -255,13 +249,13 @@
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	time.AfterFunc(50*time.Millisecond, cancel)
-	if _, err := NewPool().Do(ctx, server.address, ask("1")); err == nil {
+	if _, err := NewPool().Do(ctx, server.address, newRequest("1")); err == nil {
 		t.Fatal("there was an answer")
 	}
 	select {
 	case err := <-closed:
-		// A plain close would go on delivering the request behind a partition
-		// that heals, long after its caller has left.
+		// A plain close would keep delivering the request after a partition, long after its
+		// caller has disconnected.
 		if !errors.Is(err, syscall.ECONNRESET) {
 			t.Errorf("the connection ended with %v, want a reset", err)
 		}
@@ -270,10 +264,9 @@
 	}
 }
 
-// Symptom: a router hangs with a long request.
-// Events: the backend server answers before it has read the body, and reads
-// no further.
-// Cause: the router writes all before it reads; both sides wait.
+// The backend server answers before it has read the body and reads no further. A router
+// that wrote the whole request before reading would wait for the server, and the server for
+// the router.
 func TestEarlyAnswerToLongRequest(t *testing.T) {
 	server := serve(t, func(conn net.Conn, reader *bufio.Reader) {
 		if _, err := http.ReadRequest(reader); err != nil {
@@ -282,7 +275,7 @@
 		io.WriteString(conn, "HTTP/1.1 413 Too Large\r\nId: 1\r\nContent-Length: 0\r\n\r\n")
 		time.Sleep(time.Second)
 	})
-	request := ask("1")
+	request := newRequest("1")
 	request.Body = []byte(strings.Repeat("x", 16<<20))
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -296,28 +289,27 @@
 	}
 }
 
-// Symptom: requests reach backend servers seconds after their callers have left.
-// Events: a router's processor is busy; a connection is opened for a request, and its
-// goroutine waits for its turn; the caller leaves meanwhile.
-// Cause: whether the caller was there was asked before the connection was opened only.
-func TestNothingIsSentForACallerThatLeftWhileConnecting(t *testing.T) {
+// On a busy processor the goroutine that opens a connection waits for its turn, and the
+// caller disconnects meanwhile. If that were checked only before opening, requests would be
+// sent seconds after their callers have disconnected.
+func TestNothingIsSentAfterTheCallerDisconnects(t *testing.T) {
 	received := make(chan int, 1)
 	server := serve(t, func(conn net.Conn, _ *bufio.Reader) {
 		n, _ := conn.Read(make([]byte, 1))
 		received <- n
 	})
-	request := ask("1")
+	request := newRequest("1")
 	request.BeforeSend = func() error { return ErrCallerDisconnected }
 	pool := NewPool()
 	_, err := pool.Do(t.Context(), server.address, request)
 	if !errors.Is(err, ErrCallerDisconnected) || ProgressOf(err) != ProgressNone {
-		t.Errorf("%v, want word that nothing was sent", err)
+		t.Errorf("%v, want ErrCallerDisconnected with ProgressNone", err)
 	}
 	if n := <-received; n != 0 {
-		t.Error("the backend server got something")
+		t.Error("the backend server received data")
 	}
 	if open := pool.Open(server.address); open != 0 {
-		t.Errorf("%d connections are counted", open)
+		t.Errorf("%d connections are open", open)
 	}
 }
 
@@ -331,7 +323,7 @@
 	pool := NewPool()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	first := ask("1")
+	first := newRequest("1")
 	first.MaxConnections = 1
 	go func() {
 		if answer, err := pool.Do(ctx, server.address, first); err == nil {
@@ -341,10 +333,10 @@
 	for pool.Open(server.address) == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	second := ask("2")
+	second := newRequest("2")
 	second.MaxConnections = 1
 	if _, err := pool.Do(ctx, server.address, second); ProgressOf(err) != ProgressNone {
-		t.Errorf("%v, want a refusal before anything is sent", err)
+		t.Errorf("%v, want an error before anything is sent", err)
 	}
 }
 
@@ -355,17 +347,15 @@
 		"":                  0,
 		"timeout=x":         0,
 	} {
-		if got := statedTimeout(http.Header{"Keep-Alive": {text}}); got != want {
+		if got := parseKeepAliveTimeout(http.Header{"Keep-Alive": {text}}); got != want {
 			t.Errorf("%q: %v, want %v", text, got, want)
 		}
 	}
 }
 
-// Symptom: a request is lost though its backend server lives.
-// Events: the backend server crashes behind a partition and starts again; the
-// connections of before can't be told from sound ones.
-// Cause: they were kept.
-func TestForgottenConnectionsAreNotUsedAgain(t *testing.T) {
+// A backend server crashes behind a partition and restarts. Its old connections look
+// usable, and a request sent on one would be lost.
+func TestDroppedConnectionsAreNotReused(t *testing.T) {
 	server := serve(t, func(conn net.Conn, reader *bufio.Reader) {
 		for request := readRequest(reader); request != nil; request = readRequest(reader) {
 			io.WriteString(conn, answer(request.Header.Get("Id"), "whole"))
@@ -373,12 +363,12 @@
 	})
 	pool := NewPool()
 	for _, id := range []string{"1", "2"} {
-		if _, err := exchange(t, pool, server.address, ask(id)); err != nil {
+		if _, err := exchange(t, pool, server.address, newRequest(id)); err != nil {
 			t.Fatal(err)
 		}
 		pool.DropIdle(server.address)
 		if open := pool.Open(server.address); open != 0 {
-			t.Errorf("%d connections are kept", open)
+			t.Errorf("%d connections are open", open)
 		}
 	}
 	if got := server.conns.Load(); got != 2 {
--- a/internal/backendconn/history_test.go
+++ b/internal/backendconn/history_test.go
@@ -9,17 +9,17 @@
 	"github.com/bluebellchute/bluebellchute/internal/fleet"
 )
 
-// Guards against growth without a bound while backend servers come and go, and
-// against dropping what is newest instead of what is oldest.
+// Guards against unbounded growth while backend servers come and go, and against dropping
+// the newest records instead of the oldest.
 func TestHistoryIsBounded(t *testing.T) {
 	known := make(history)
 	now := boottime.Instant(time.Hour)
-	for i := range historyAddresses + 10 {
+	for i := range maxHistoryAddresses + 10 {
 		address := fleet.Address(fmt.Sprint("a", i))
 		known.add(address, ending{reason: ReasonExpired, at: now.Add(time.Duration(i))})
 	}
-	if len(known) != historyAddresses {
-		t.Errorf("%d addresses are remembered, want %d", len(known), historyAddresses)
+	if len(known) != maxHistoryAddresses {
+		t.Errorf("%d addresses are remembered, want %d", len(known), maxHistoryAddresses)
 	}
 	if _, found := known.take("a9", now); found {
 		t.Error("one of the oldest addresses is remembered")
@@ -27,24 +27,24 @@
 	if _, found := known.take("a10", now); !found {
 		t.Error("an address within the bound was dropped")
 	}
-	last := fleet.Address(fmt.Sprint("a", historyAddresses+9))
-	for i := range historyEndings + 10 {
+	last := fleet.Address(fmt.Sprint("a", maxHistoryAddresses+9))
+	for i := range maxHistoryEndings + 10 {
 		known.add(last, ending{reason: ReasonBroken, at: now.Add(time.Duration(i))})
 	}
-	if got := len(known[last]); got != historyEndings {
-		t.Errorf("%d endings are remembered, want %d", got, historyEndings)
+	if got := len(known[last]); got != maxHistoryEndings {
+		t.Errorf("%d endings are remembered, want %d", got, maxHistoryEndings)
 	}
-	if newest, _ := known.take(last, now); newest.at != now.Add(historyEndings+9) {
+	if newest, _ := known.take(last, now); newest.at != now.Add(maxHistoryEndings+9) {
 		t.Error("the newest ending was dropped")
 	}
 }
 
-// Guards against a reason from long ago, and against memory held for backend
-// servers that are gone.
+// Guards against reasons from long ago, and against memory held for removed backend
+// servers.
 func TestHistoryExpires(t *testing.T) {
 	known := make(history)
 	start := boottime.Instant(time.Hour)
-	late := start.Add(historyAge + 1)
+	late := start.Add(historyTTL + 1)
 	known.add("old", ending{reason: ReasonClosed, at: start})
 	known.add("new", ending{reason: ReasonClosed, at: late})
 	known.prune(late)
@@ -60,11 +60,11 @@
 	}
 }
 
-// Guards against idle times that stop at the router's own limit: they could not
-// show that a longer one would have spared the opening.
+// Guards against idle times that end at the router's own limit: they could not show that a
+// longer one would have avoided the opening.
 func TestIdleTimeRunsUntilTheOpening(t *testing.T) {
 	start := boottime.Instant(time.Hour)
-	ended := ending{reason: ReasonExpired, at: start.Add(time.Second), idleSince: start, stated: 5 * time.Second}
+	ended := ending{reason: ReasonExpired, at: start.Add(time.Second), idleSince: start, statedTimeout: 5 * time.Second}
 	want := Opening{Reason: ReasonExpired, IdleTime: 9 * time.Second, StatedTimeout: 5 * time.Second}
 	if got := ended.opening(start.Add(9 * time.Second)); got != want {
 		t.Errorf("opening %+v, want %+v", got, want)
--- a/internal/backendconn/pool.go
+++ b/internal/backendconn/pool.go
@@ -14,55 +14,53 @@
 )
 
 const (
-	// statedIdleShare is the part of a stated idle timeout for which a
-	// connection is used again at least. The rest covers the time on the way.
-	statedIdleShare = 0.7
-	// idleMargin is the part of a long stated timeout that is left unused: the peer's
-	// time began when it had sent its answer, which may have waited here to be read.
+	// minIdleFraction is the least fraction of a stated idle timeout for which an idle
+	// connection is reused. The rest covers the transfer time.
+	minIdleFraction = 0.7
+	// idleMargin is the part of a long stated timeout that is not used: the peer's timer
+	// started when it had sent its answer, which may have waited here to be read.
 	idleMargin = 500 * time.Millisecond
-	// unstatedIdle is how long a connection is used again whose peer states no
+	// defaultIdleLifetime is how long an idle connection is reused if the peer states no
 	// timeout. Timeouts below a second can't be stated.
-	unstatedIdle = 700 * time.Millisecond
-	// sweepInterval is the pause between two searches for connections that
-	// have been idle too long.
+	defaultIdleLifetime = 700 * time.Millisecond
+	// sweepInterval is the time between two searches for expired idle connections.
 	sweepInterval = 500 * time.Millisecond
 )
 
-// ErrTooMany tells that the bound of connections to a backend server is
-// reached.
+// ErrTooMany says that the limit of connections to a backend server is reached.
 var ErrTooMany = errors.New("all connections to the backend server are in use")
 
-// Pool keeps connections to backend servers. Its methods may be called
+// Pool keeps persistent connections to backend servers. Its methods may be called
 // concurrently.
 type Pool struct {
-	dialer *net.Dialer
-	opened func(Opening)
-	mu     sync.Mutex
-	hosts  map[fleet.Address]*host
-	ended  history
+	dialer  *net.Dialer
+	opened  func(Opening)
+	mu      sync.Mutex
+	hosts   map[fleet.Address]*host
+	history history
 }
 
 // host holds the connections to one address.
 type host struct {
 	idle []*conn // the most recently used last
-	open int     // idle ones and those in use
+	open int     // both idle and in use
 }
 
 // NewPool returns a pool without connections.
 func NewPool() *Pool {
 	return &Pool{
-		dialer: newDialer(),
-		opened: func(Opening) {},
-		hosts:  make(map[fleet.Address]*host),
-		ended:  make(history),
+		dialer:  newDialer(),
+		opened:  func(Opening) {},
+		hosts:   make(map[fleet.Address]*host),
+		history: make(history),
 	}
 }
 
-// OnOpen sets a function that is called for each connection that is opened. It
-// must be set before the pool is used.
+// OnOpen sets a function that is called for each connection that is opened. It must be
+// called before the pool is used.
 func (p *Pool) OnOpen(opened func(Opening)) { p.opened = opened }
 
-// Run closes idle connections until the context ends, then all of them.
+// Run closes expired idle connections until the context ends, then all idle ones.
 func (p *Pool) Run(ctx context.Context) error {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -89,12 +87,12 @@
 	return 0
 }
 
-// DropIdle closes the idle connections to an address. A backend server that
-// crashed and started again there knows nothing of them, and behind a partition
-// it could not say so: a request sent on one would be lost.
+// DropIdle closes the idle connections to an address. A backend server that crashed and
+// restarted there does not know them, and behind a partition its resets would not arrive: a
+// request sent on one would be lost.
 func (p *Pool) DropIdle(address fleet.Address) {
 	p.mu.Lock()
-	p.ended.replace(address)
+	p.history.markReplaced(address)
 	p.mu.Unlock()
 	p.closeIdleAt(address, func(*conn) bool { return true }, ReasonReplaced)
 }
@@ -102,22 +100,22 @@
 func (p *Pool) pruneHistory(now boottime.Instant) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ended.prune(now)
+	p.history.prune(now)
 }
 
-// anyAddress stands for all addresses in closeIdleAt.
+// anyAddress matches all addresses in closeIdleAt.
 const anyAddress fleet.Address = ""
 
 func (p *Pool) closeIdle(expired func(*conn) bool) {
 	p.closeIdleAt(anyAddress, expired, ReasonExpired)
 }
 
-func (p *Pool) closeIdleAt(wanted fleet.Address, expired func(*conn) bool, reason Reason) {
+func (p *Pool) closeIdleAt(only fleet.Address, expired func(*conn) bool, reason Reason) {
 	var closing []*conn
 	now := boottime.Now()
 	p.mu.Lock()
 	for address, host := range p.hosts {
-		if wanted != anyAddress && wanted != address {
+		if only != anyAddress && only != address {
 			continue
 		}
 		kept := host.idle[:0]
@@ -125,7 +123,7 @@
 			if expired(c) {
 				closing = append(closing, c)
 				host.open--
-				p.ended.add(address, c.ending(reason, now))
+				p.history.add(address, c.ending(reason, now))
 				continue
 			}
 			kept = append(kept, c)
@@ -138,35 +136,35 @@
 	}
 	p.mu.Unlock()
 	for _, c := range closing {
-		_ = c.Close() // nothing is lost with an idle connection
+		_ = c.Close() // no data is lost with an idle connection
 	}
 }
 
-// get returns a kept connection that is known to be sound, or a new one. most
-// bounds the connections to the address.
-func (p *Pool) get(ctx context.Context, address fleet.Address, most int) (*conn, error) {
+// get returns an idle connection that is still usable, or a new one. maxConnections bounds
+// the connections to the address.
+func (p *Pool) get(ctx context.Context, address fleet.Address, maxConnections int) (*conn, error) {
 	for {
-		kept := p.takeIdle(address)
-		if kept == nil {
+		idle := p.takeIdle(address)
+		if idle == nil {
 			break
 		}
-		reason := kept.unusable(boottime.Now())
+		reason := idle.unusableReason(boottime.Now())
 		if reason == "" {
-			return kept, nil
+			return idle, nil
 		}
-		p.discard(address, kept, reason)
+		p.discard(address, idle, reason)
 	}
-	former, reserved := p.reserve(address, most)
+	previous, reserved := p.reserve(address, maxConnections)
 	if !reserved {
 		return nil, ErrTooMany
 	}
-	opened, err := p.dialer.DialContext(ctx, "tcp", string(address))
+	connection, err := p.dialer.DialContext(ctx, "tcp", string(address))
 	if err != nil {
-		p.release(address, former)
+		p.release(address, previous)
 		return nil, errors.WithStack(err)
 	}
-	p.opened(former.opening(boottime.Now()))
-	return &conn{Conn: opened, reader: bufio.NewReaderSize(opened, readBufferSize)}, nil
+	p.opened(previous.opening(boottime.Now()))
+	return &conn{Conn: connection, reader: bufio.NewReaderSize(connection, readBufferSize)}, nil
 }
 
 func (p *Pool) takeIdle(address fleet.Address) *conn {
@@ -177,16 +175,16 @@
 		return nil
 	}
 	last := len(host.idle) - 1
-	kept := host.idle[last]
+	taken := host.idle[last]
 	host.idle[last] = nil
 	host.idle = host.idle[:last]
-	return kept
+	return taken
 }
 
-// reserve counts a connection that is about to be opened, unless most are open.
-// It returns the ending that the connection makes up for, or one that holds just
-// the reason if there is none.
-func (p *Pool) reserve(address fleet.Address, most int) (ending, bool) {
+// reserve counts a connection that is about to be opened, unless maxConnections are open.
+// It returns the ending that the new connection compensates for, or one with only a reason
+// if there is none.
+func (p *Pool) reserve(address fleet.Address, maxConnections int) (ending, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	known := p.hosts[address]
@@ -194,29 +192,28 @@
 		known = &host{}
 		p.hosts[address] = known
 	}
-	if most > 0 && known.open >= most {
+	if maxConnections > 0 && known.open >= maxConnections {
 		return ending{}, false
 	}
-	former, found := p.ended.take(address, boottime.Now())
+	previous, found := p.history.take(address, boottime.Now())
 	switch {
 	case found:
 	case known.open > 0:
-		former = ending{reason: ReasonBusy}
+		previous = ending{reason: ReasonBusy}
 	default:
-		former = ending{reason: ReasonFirst}
+		previous = ending{reason: ReasonFirst}
 	}
 	known.open++
-	return former, true
+	return previous, true
 }
 
-// release counts a connection no more. ended tells how it ended; for one that
-// could not be opened it is what reserve returned, so that the next one is
-// opened for the same reason.
-func (p *Pool) release(address fleet.Address, ended ending) {
+// release stops counting a connection. end says how it ended; for one that could not be
+// opened it is what reserve returned, so that the next one is opened for the same reason.
+func (p *Pool) release(address fleet.Address, end ending) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if ended.at != 0 {
-		p.ended.add(address, ended)
+	if end.at != 0 {
+		p.history.add(address, end)
 	}
 	host := p.hosts[address]
 	host.open--
@@ -225,27 +222,27 @@
 	}
 }
 
-// idleLife returns for how long an idle connection is used again whose peer states the
+// idleLifetime returns for how long an idle connection is reused if its peer states the
 // idle timeout, 0 for none.
-func idleLife(stated time.Duration) time.Duration {
+func idleLifetime(stated time.Duration) time.Duration {
 	if stated <= 0 {
-		return unstatedIdle
+		return defaultIdleLifetime
 	}
-	return max(time.Duration(float64(stated)*statedIdleShare), stated-idleMargin)
+	return max(time.Duration(float64(stated)*minIdleFraction), stated-idleMargin)
 }
 
-// put keeps a connection whose answer has been read to its end. stated is the
-// idle timeout that the backend server named, 0 for none.
+// put keeps a connection whose answer has been read to its end. stated is the idle timeout
+// that the backend server stated, 0 for none.
 func (p *Pool) put(address fleet.Address, c *conn, stated time.Duration) {
-	c.idleSince, c.stated = boottime.Now(), stated
-	c.usableUntil = c.idleSince.Add(idleLife(stated))
+	c.idleSince, c.statedTimeout = boottime.Now(), stated
+	c.usableUntil = c.idleSince.Add(idleLifetime(stated))
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	host := p.hosts[address]
 	host.idle = append(host.idle, c)
 }
 
-// discard closes a connection that was in use or taken for use.
+// discard closes a connection that is not in the idle list.
 func (p *Pool) discard(address fleet.Address, c *conn, reason Reason) {
 	c.abort()
 	p.release(address, c.ending(reason, boottime.Now()))
--- a/internal/backendconn/reason_test.go
+++ b/internal/backendconn/reason_test.go
@@ -14,20 +14,20 @@
 	"github.com/bluebellchute/bluebellchute/internal/fleet"
 )
 
-// openings collects what a pool reports.
+// openings collects the reports of a pool.
 type openings struct {
 	mu  sync.Mutex
 	all []Opening
 }
 
-func observed() (*Pool, *openings) {
-	pool, seen := NewPool(), &openings{}
+func newObservedPool() (*Pool, *openings) {
+	pool, reports := NewPool(), &openings{}
 	pool.OnOpen(func(opening Opening) {
-		seen.mu.Lock()
-		defer seen.mu.Unlock()
-		seen.all = append(seen.all, opening)
+		reports.mu.Lock()
+		defer reports.mu.Unlock()
+		reports.all = append(reports.all, opening)
 	})
-	return pool, seen
+	return pool, reports
 }
 
 func (o *openings) check(t *testing.T, want ...Reason) {
@@ -43,8 +43,8 @@
 	}
 }
 
-// answering answers each request; the header lines are added to the answers.
-func answering(t *testing.T, headers string) *scripted {
+// echoServer answers each request with its id; the header lines are added to the answers.
+func echoServer(t *testing.T, headers string) *scriptedServer {
 	t.Helper()
 	return serve(t, func(conn net.Conn, reader *bufio.Reader) {
 		for request := readRequest(reader); request != nil; request = readRequest(reader) {
@@ -55,13 +55,13 @@
 
 func mustExchange(t *testing.T, pool *Pool, address fleet.Address, id string) {
 	t.Helper()
-	if _, err := exchange(t, pool, address, ask(id)); err != nil {
+	if _, err := exchange(t, pool, address, newRequest(id)); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// expire makes all idle connections unusable, as the passing of time does.
-func expire(pool *Pool) {
+// expireIdle makes all idle connections unusable, as if their time had passed.
+func expireIdle(pool *Pool) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
 	for _, host := range pool.hosts {
@@ -71,19 +71,19 @@
 	}
 }
 
-// hold sends a request and returns its answer unread, so that the connection
-// stays in use.
-func hold(t *testing.T, pool *Pool, address fleet.Address, id string) *Answer {
+// sendAndHold sends a request and returns its answer unread, so that the connection stays
+// in use.
+func sendAndHold(t *testing.T, pool *Pool, address fleet.Address, id string) *Answer {
 	t.Helper()
-	answer, err := pool.Do(t.Context(), address, ask(id))
+	answer, err := pool.Do(t.Context(), address, newRequest(id))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return answer
 }
 
-// release reads the answer to its end and gives its connection back.
-func release(t *testing.T, answer *Answer) {
+// drainAndClose reads the answer to its end and returns its connection to the pool.
+func drainAndClose(t *testing.T, answer *Answer) {
 	t.Helper()
 	if _, err := io.Copy(io.Discard, answer); err != nil {
 		t.Fatal(err)
@@ -91,38 +91,38 @@
 	answer.Close()
 }
 
-// Guards against counting a connection that is used again, and against taking
-// growing load for a loss of connections.
+// Guards against reporting a reused connection, and against taking growing load for lost
+// connections.
 func TestReasonFirstAndBusy(t *testing.T) {
-	server := answering(t, "Keep-Alive: timeout=60\r\n")
-	pool, seen := observed()
+	server := echoServer(t, "Keep-Alive: timeout=60\r\n")
+	pool, seen := newObservedPool()
 	mustExchange(t, pool, server.address, "1")
-	first := hold(t, pool, server.address, "2")
-	second := hold(t, pool, server.address, "3")
-	release(t, first)
-	release(t, second)
+	first := sendAndHold(t, pool, server.address, "2")
+	second := sendAndHold(t, pool, server.address, "3")
+	drainAndClose(t, first)
+	drainAndClose(t, second)
 	mustExchange(t, pool, server.address, "4")
 	seen.check(t, ReasonFirst, ReasonBusy)
 }
 
-// Guards against expiries that hide behind "busy": a burst that finds its
-// connections gone opens all of them because they expired.
+// Guards against expired connections reported as busy: a burst that finds its connections
+// expired opens all of them for that reason.
 func TestReasonExpiredCountsEachLostConnection(t *testing.T) {
 	for name, swept := range map[string]bool{"found at use": false, "found by the sweep": true} {
 		t.Run(name, func(t *testing.T) {
-			server := answering(t, "Keep-Alive: timeout=5\r\n")
-			pool, seen := observed()
+			server := echoServer(t, "Keep-Alive: timeout=5\r\n")
+			pool, seen := newObservedPool()
 			burst := func(size int) {
 				var answers []*Answer
 				for range size {
-					answers = append(answers, hold(t, pool, server.address, "x"))
+					answers = append(answers, sendAndHold(t, pool, server.address, "x"))
 				}
 				for _, answer := range answers {
-					release(t, answer)
+					drainAndClose(t, answer)
 				}
 			}
 			burst(2)
-			expire(pool)
+			expireIdle(pool)
 			if swept {
 				pool.closeIdle(func(c *conn) bool { return boottime.Now() >= c.usableUntil })
 			}
@@ -135,8 +135,8 @@
 	}
 }
 
-// Guards against blaming the router's idle timeout, or a failure, when the peer
-// ends connections.
+// Guards against blaming the router's idle timeout, or a failure, when the peer closes
+// connections.
 func TestReasonClosed(t *testing.T) {
 	for name, text := range map[string]string{
 		"while idle":  "HTTP/1.1 200 OK\r\nId: 1\r\nKeep-Alive: timeout=60\r\nContent-Length: 0\r\n\r\n",
@@ -148,7 +148,7 @@
 				readRequest(reader)
 				io.WriteString(conn, text)
 			})
-			pool, seen := observed()
+			pool, seen := newObservedPool()
 			mustExchange(t, pool, server.address, "1")
 			time.Sleep(50 * time.Millisecond)
 			mustExchange(t, pool, server.address, "1")
@@ -160,8 +160,8 @@
 	}
 }
 
-// Guards against failures that look like callers who left, both before and
-// within an answer.
+// Guards against failures that look like disconnected callers, both before and within an
+// answer.
 func TestReasonBroken(t *testing.T) {
 	for name, text := range map[string]string{
 		"no answer":   "",
@@ -172,9 +172,9 @@
 				readRequest(reader)
 				io.WriteString(conn, text)
 			})
-			pool, seen := observed()
+			pool, seen := newObservedPool()
 			for range 2 {
-				if _, err := exchange(t, pool, server.address, ask("1")); err == nil {
+				if _, err := exchange(t, pool, server.address, newRequest("1")); err == nil {
 					t.Fatal("the exchange did not fail")
 				}
 			}
@@ -183,78 +183,79 @@
 	}
 }
 
-// Guards against counting callers that leave as failures of backend servers.
+// Guards against counting disconnected callers as failures of backend servers.
 func TestReasonAbandoned(t *testing.T) {
 	server := serve(t, func(conn net.Conn, reader *bufio.Reader) {
 		readRequest(reader)
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 10\r\n\r\nhalf")
 		io.Copy(io.Discard, reader) // until the connection ends
 	})
-	pool, seen := observed()
+	pool, seen := newObservedPool()
 
-	hold(t, pool, server.address, "1").Close() // the answer is not read to its end
+	sendAndHold(t, pool, server.address, "1").Close() // the answer is not read to its end
 
 	ctx, cancel := context.WithCancel(t.Context())
-	answer, err := pool.Do(ctx, server.address, ask("1"))
+	answer, err := pool.Do(ctx, server.address, newRequest("1"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	cancel() // the caller leaves while the answer is read
+	cancel() // the caller disconnects while the answer is read
 	if _, err := io.Copy(io.Discard, answer); err == nil {
-		t.Fatal("the answer did not break off")
+		t.Fatal("the answer did not end with an error")
 	}
 	answer.Close()
 
-	unsent := ask("1")
+	unsent := newRequest("1")
 	unsent.BeforeSend = func() error { return ErrCallerDisconnected }
 	if _, err := pool.Do(t.Context(), server.address, unsent); err == nil {
 		t.Fatal("the request was sent")
 	}
 
-	hold(t, pool, server.address, "1").Close()
+	sendAndHold(t, pool, server.address, "1").Close()
 	seen.check(t, ReasonFirst, ReasonAbandoned, ReasonAbandoned, ReasonAbandoned)
 }
 
-// Guards against blaming idle timeouts for connections to a backend server that
-// is gone: no timeout would have kept them.
+// Guards against blaming idle timeouts for lost connections to a backend server that was
+// replaced: no timeout would have kept them.
 func TestReasonReplaced(t *testing.T) {
-	server := answering(t, "Keep-Alive: timeout=60\r\n")
-	pool, seen := observed()
+	server := echoServer(t, "Keep-Alive: timeout=60\r\n")
+	pool, seen := newObservedPool()
 	mustExchange(t, pool, server.address, "1")
 	pool.DropIdle(server.address)
 	mustExchange(t, pool, server.address, "2")
-	expire(pool)
+	expireIdle(pool)
 	pool.closeIdle(func(c *conn) bool { return boottime.Now() >= c.usableUntil })
 	pool.DropIdle(server.address)
 	mustExchange(t, pool, server.address, "3")
 	seen.check(t, ReasonFirst, ReasonReplaced, ReasonReplaced)
 }
 
-// Guards against losing the reason, or counting a connection, when the opening
-// fails: after an outage the new connection would count as the first one.
+// Guards against losing the reason, or counting a connection, when the opening fails: after
+// an outage the new connection would count as the first one.
 func TestFailedOpeningKeepsTheReason(t *testing.T) {
-	server := answering(t, "")
-	pool, seen := observed()
+	server := echoServer(t, "")
+	pool, seen := newObservedPool()
 	mustExchange(t, pool, server.address, "1")
-	expire(pool)
+	expireIdle(pool)
 	gone, cancel := context.WithCancel(t.Context())
 	cancel()
-	if _, err := pool.Do(gone, server.address, ask("2")); err == nil {
+	if _, err := pool.Do(gone, server.address, newRequest("2")); err == nil {
 		t.Fatal("a connection was opened in an ended context")
 	}
 	mustExchange(t, pool, server.address, "3")
 	seen.check(t, ReasonFirst, ReasonExpired)
 }
 
-// Guards against connections that are given up while their server would still take
-// requests on them, and against ones that are used until the very end of their time.
-func TestStatedIdleTimeoutIsUsedButForAMargin(t *testing.T) {
+// Guards against connections that are dropped while their server would still accept
+// requests on them, and against connections that are used until the very end of the stated
+// timeout.
+func TestStatedIdleTimeoutIsUsedUpToAMargin(t *testing.T) {
 	for stated, want := range map[time.Duration]time.Duration{
 		time.Second:      700 * time.Millisecond,
 		10 * time.Second: 9500 * time.Millisecond,
-		0:                unstatedIdle,
+		0:                defaultIdleLifetime,
 	} {
-		if got := idleLife(stated); got != want {
+		if got := idleLifetime(stated); got != want {
 			t.Errorf("stated %v: used for %v, want %v", stated, got, want)
 		}
 	}
