--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -1,8 +1,9 @@
-// Package boottime reads the clock that goes on while the machine is suspended.
+// Package boottime reads the clock that includes the time in which the machine is
+// suspended.
 //
-// Ages of knowledge are measured with it. The monotonic clock of package time
-// stands still during a suspension, so knowledge would look fresh that is
-// seconds old; the time of day jumps in both directions.
+// It measures the age of fleet state. The monotonic clock of package time stops during a
+// suspension, so state that is seconds old would look fresh; the wall clock jumps in both
+// directions.
 package boottime
 
 import (
@@ -12,61 +13,60 @@
 	"golang.org/x/sys/unix"
 )
 
-// Instant is a moment since the machine started. Instants of different
-// machines can't be compared.
+// Instant is the time since the machine started. Instants of different machines can't be
+// compared.
 type Instant int64
 
-// anchor ties the monotonic clock to this one. The two run alike but for
-// suspensions.
+// anchor relates the monotonic clock to the boot-time clock. The two advance alike except
+// during suspensions.
 type anchor struct {
-	offset int64 // this clock less the monotonic one, nanoseconds
-	drift  int64 // time of day less the monotonic clock, nanoseconds
+	bootOffset int64 // boot-time clock minus monotonic clock, nanoseconds
+	wallOffset int64 // wall clock minus monotonic clock, nanoseconds
 }
 
-// start is where the monotonic clock counts from.
+// start is the origin of the monotonic readings.
 var start = time.Now()
 
 var current atomic.Pointer[anchor]
 
-// tolerance is how much time of day and monotonic clock may drift apart before
-// the anchor is taken anew. A suspension, like a step of the time of day, moves
-// them apart by its whole length; one shorter than this makes no age wrong.
+// tolerance is how far wall clock and monotonic clock may drift apart before the anchor is
+// renewed. A suspension, like a step of the wall clock, moves them apart by its full
+// length; one shorter than this does not matter to any age.
 const tolerance = int64(time.Millisecond)
 
-// Now returns the present moment.
+// Now returns the current time.
 //
-// The kernel serves this clock by a system call only, several hundred
-// nanoseconds each, and every request reads it some twenty times. Time of day
-// and monotonic clock are read without one, and together they show when the
-// machine has been suspended. Nanoseconds a reading before and after: 269, 106
-// (BenchmarkRead, BenchmarkNow).
+// The kernel serves the boot-time clock only by a system call of several hundred
+// nanoseconds, and every request reads it some twenty times. Wall clock and monotonic clock
+// are read without one, and together they show when the machine has been suspended. This
+// takes 106 ns instead of 269 ns (BenchmarkNow, BenchmarkRead).
 func Now() Instant {
 	now := time.Now()
-	steady := int64(now.Sub(start))
-	drift := now.UnixNano() - steady
-	known := current.Load()
-	if known == nil || drift-known.drift > tolerance || known.drift-drift > tolerance {
-		known = takeAnchor()
+	monotonic := int64(now.Sub(start))
+	wallOffset := now.UnixNano() - monotonic
+	currentAnchor := current.Load()
+	if currentAnchor == nil || wallOffset-currentAnchor.wallOffset > tolerance || currentAnchor.wallOffset-wallOffset > tolerance {
+		currentAnchor = renewAnchor()
 	}
-	return Instant(steady + known.offset)
+	return Instant(monotonic + currentAnchor.bootOffset)
 }
 
-// takeAnchor reads all clocks.
-func takeAnchor() *anchor {
-	boot := read()
+// renewAnchor reads all clocks and stores a new anchor.
+func renewAnchor() *anchor {
+	boot := readKernel()
 	now := time.Now()
-	steady := int64(now.Sub(start))
-	fresh := &anchor{offset: boot - steady, drift: now.UnixNano() - steady}
-	current.Store(fresh)
-	return fresh
+	monotonic := int64(now.Sub(start))
+	renewed := &anchor{bootOffset: boot - monotonic, wallOffset: now.UnixNano() - monotonic}
+	current.Store(renewed)
+	return renewed
 }
 
-// read reads the clock from the kernel, in nanoseconds.
-func read() int64 {
+// readKernel reads the boot-time clock from the kernel, in nanoseconds.
+func readKernel() int64 {
 	var value unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &value); err != nil {
-		// Every supported kernel has this clock; without it no age is known
-		// and no request may be answered.
+		// Every supported kernel has this clock; without it no age is known and no request
+		// may be answered.
 		panic(err)
 	}
 	return value.Nano()
@@ -75,5 +75,5 @@
 // Sub returns the time from other to i.
 func (i Instant) Sub(other Instant) time.Duration { return time.Duration(i - other) }
 
-// Add returns the moment that is the given time after i.
+// Add returns the time d after i.
 func (i Instant) Add(d time.Duration) Instant { return i + Instant(d) }
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -7,37 +7,36 @@
 
 func TestNowAgreesWithTheKernel(t *testing.T) {
 	for range 1000 {
-		before := read()
+		before := readKernel()
 		now := int64(Now())
-		after := read()
+		after := readKernel()
 		if slack := int64(100 * time.Microsecond); now < before-slack || now > after+slack {
-			t.Fatalf("now %d, the kernel says %d to %d", now, before, after)
+			t.Fatalf("now %d, want %d to %d as read from the kernel", now, before, after)
 		}
 	}
 }
 
-// Symptom: knowledge that is seconds old counts as fresh.
-// Events: the machine is suspended, which the monotonic clock does not count.
-// Cause: the anchor of before was still used.
-func TestSuspensionIsNoticed(t *testing.T) {
+// The monotonic clock does not count a suspension. If the anchor from before were still
+// used, state that is seconds old would count as fresh.
+func TestSuspensionIsDetected(t *testing.T) {
 	Now()
-	const slept = 3 * time.Second
-	// Before a suspension both offsets are less by its length.
+	const suspended = 3 * time.Second
+	// An anchor from before a suspension has both offsets smaller by its length.
 	stale := *current.Load()
-	stale.offset -= int64(slept)
-	stale.drift -= int64(slept)
+	stale.bootOffset -= int64(suspended)
+	stale.wallOffset -= int64(suspended)
 	current.Store(&stale)
-	if now, kernel := int64(Now()), read(); kernel-now > int64(tolerance) {
+	if now, kernel := int64(Now()), readKernel(); kernel-now > int64(tolerance) {
 		t.Errorf("the clock is %v behind after a suspension", time.Duration(kernel-now))
 	}
 }
 
-// Instants never fall, whatever the time of day does.
-func TestStepOfTheTimeOfDayMovesNothing(t *testing.T) {
+// Instants never decrease when the wall clock is stepped.
+func TestWallClockStepDoesNotMoveInstants(t *testing.T) {
 	last := Now()
 	for _, step := range []time.Duration{2 * time.Second, -4 * time.Second, time.Microsecond} {
 		stepped := *current.Load()
-		stepped.drift += int64(step)
+		stepped.wallOffset += int64(step)
 		current.Store(&stepped)
 		now := Now()
 		if now < last || now.Sub(last) > time.Second {
@@ -55,6 +54,6 @@
 
 func BenchmarkRead(b *testing.B) {
 	for b.Loop() {
-		_ = read()
+		_ = readKernel()
 	}
 }
