--- a/internal/gate/admission.go
+++ b/internal/gate/admission.go
@@ -17,36 +17,37 @@
 	"github.com/bluebellchute/bluebellchute/internal/slowstart"
 )
 
-// placement is a request's place at a backend server.
+// placement is the backend server chosen for a request, and what the request counts for
+// there.
 type placement struct {
 	backend *knowledge.Backend
 	load    BackendLoad
-	pending float64 // prompt tokens waiting there, this request's included
+	pending float64 // prompt tokens waiting there, including this request's
 	model   bool
-	tier    policy.Tier // which of its account's sums the request counts in
-	// holder is the address of an engine that probably keeps shared parts
-	// which the chosen one lacks, "" for none.
-	holder fleet.Address
-	// permit is that of a cold backend server, nil for a warm one.
+	tier    policy.Tier // decides which counters of the account the request is added to
+	// fetchSource is the address of an engine that probably caches shared segments which
+	// the chosen one lacks, "" for none.
+	fetchSource fleet.Address
+	// permit limits requests to a cold backend server; nil for a warm one.
 	permit *slowstart.Permit
-	// plain is the place at a plain server under admission control, else nil.
-	plain  *plainPlace
+	// plain is set for a plain server under admission control, else nil.
+	plain  *plainPlacement
 	inputs Inputs
 }
 
-// admission decides which request is sent where. Its methods may be called
+// admission decides whether and where a request is sent. Its methods may be called
 // concurrently.
 type admission struct {
-	settings *currentSettings
-	zone     fleet.Zone
-	loads    *loads
-	peers    Peers
-	kept     *keptParts
-	lists    *listCache
-	cold     *coldServers
-	closures *closures
-	paces    *paces
-	plain    *plainServers
+	settings    *currentSettings
+	zone        fleet.Zone
+	loads       *loads
+	peers       Peers
+	segments    *segmentIndex
+	lists       *listCache
+	cold        *coldServers
+	unavailable *unavailableServers
+	paces       *paces
+	plain       *plainServers
 
 	mu     sync.Mutex
 	ledger *shares.Ledger
@@ -56,81 +57,84 @@
 func newAdmission(settings *currentSettings, zone fleet.Zone, peers Peers) *admission {
 	loads := newLoads()
 	return &admission{
-		settings: settings,
-		zone:     zone,
-		loads:    loads,
-		peers:    peers,
-		kept:     newKeptParts(),
-		lists:    newListCache(),
-		cold:     newColdServers(settings, peers),
-		closures: newClosures(),
-		paces:    newPaces(settings, loads, peers),
-		plain:    newPlainServers(),
-		ledger:   shares.NewLedger(),
+		settings:    settings,
+		zone:        zone,
+		loads:       loads,
+		peers:       peers,
+		segments:    newSegmentIndex(),
+		lists:       newListCache(),
+		cold:        newColdServers(settings, peers),
+		unavailable: newUnavailableServers(),
+		paces:       newPaces(settings, loads, peers),
+		plain:       newPlainServers(),
+		ledger:      shares.NewLedger(),
 	}
 }
 
-// asked counts a request that has arrived.
-func (a *admission) asked(request *Request) {
-	if !request.takesShare() {
+// recordRequest counts the tokens of a request that has arrived.
+func (a *admission) recordRequest(request *Request) {
+	if !request.countsTowardShare() {
 		return
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.ledger.Asked(request.Account.Name, request.Prompt.Cost(), boottime.Now())
+	a.ledger.AddRequested(request.Account.Name, request.Prompt.Cost(), boottime.Now())
 }
 
-// owed tells whether the request's account has had less than its share. Requests
-// to plain services are, as they take none of what is shared.
-func (a *admission) owed(request *Request, view *knowledge.View) bool {
+// withinShare reports whether the request's account has used less than its share. Requests
+// to plain services use no shared capacity, so it is always true for them.
+func (a *admission) withinShare(request *Request, view *knowledge.View) bool {
 	if request.Prompt.Tokens == 0 {
 		return true
 	}
-	return a.standing(request, view.Index.Configuration.Limits.TokensPerSecond, boottime.Now()).Owed()
+	return a.accountUsage(request, view.Index.Configuration.Limits.TokensPerSecond, boottime.Now()).WithinShare()
 }
 
-// shut notes that a request was turned away for another reason than what its
-// engines can do: what accounts get meanwhile says nothing of the engines.
-func (a *admission) shut(request *Request) {
-	if !request.takesShare() {
+// recordUnrelatedRefusal records that a request was refused for a reason other than the
+// capacity of the engines. What accounts are granted meanwhile is no measure of that
+// capacity.
+func (a *admission) recordUnrelatedRefusal(request *Request) {
+	if !request.countsTowardShare() {
 		return
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.ledger.Shut(boottime.Now())
+	a.ledger.PauseCapacityTest(boottime.Now())
 }
 
-// place chooses a backend server for the request and counts the request in
-// there, or refuses it. excluded are backend servers that failed it before.
+// place chooses a backend server for the request and adds the request to its load, or
+// returns a refusal. excluded holds the backend servers that have already failed the
+// request.
 func (a *admission) place(request *Request, view *knowledge.View, excluded map[string]bool) (*placement, *Refusal) {
 	now := boottime.Now()
-	cold := a.cold.of(view, request.Service, now)
-	sound := a.sound(view, request.Service, excluded, now)
-	usable := a.cold.open(cold, sound, now)
+	cold := a.cold.bounds(view, request.Service, now)
+	candidates := a.candidates(view, request.Service, excluded, now)
+	usable := a.cold.usable(cold, candidates, now)
 	if len(usable) == 0 {
-		a.shut(request)
-		return nil, a.refuseAll(request, view, len(sound), now)
+		a.recordUnrelatedRefusal(request)
+		return nil, a.refuseAll(request, view, len(candidates), now)
 	}
 	placed, refusal := a.placeAmong(request, view, usable, len(excluded) > 0)
 	if refusal != nil {
 		return nil, refusal
 	}
-	permit, ok := a.cold.take(cold, placed.backend, now)
+	permit, ok := a.cold.acquire(cold, placed.backend, now)
 	if !ok {
-		// Another request has just taken the last permit, so that the next look
-		// finds this backend server closed.
-		a.ended(request, placed, false)
+		// Another request has just taken the last permit. The next attempt finds this
+		// backend server unusable.
+		a.release(request, placed, false)
 		return a.place(request, view, excluded)
 	}
 	placed.permit = permit
 	return placed, nil
 }
 
-// placeAmong chooses one of the usable backend servers for the request and counts
-// the request in there, or refuses it. again tells that one has failed it before.
-func (a *admission) placeAmong(request *Request, view *knowledge.View, usable []*knowledge.Backend, again bool) (*placement, *Refusal) {
+// placeAmong chooses one of the usable backend servers for the request and adds the request
+// to its load, or returns a refusal. retried reports whether a backend server has already
+// failed the request.
+func (a *admission) placeAmong(request *Request, view *knowledge.View, usable []*knowledge.Backend, retried bool) (*placement, *Refusal) {
 	if request.Prompt.Tokens > 0 {
-		return a.placeModel(request, view, usable, again)
+		return a.placeModel(request, view, usable, retried)
 	}
 	if a.settings.get().Plain.Admission && !request.Route.Stream {
 		return a.placeBounded(request, view, usable)
@@ -142,7 +146,7 @@
 	return &Refusal{Status: http.StatusServiceUnavailable, Reason: reason, RetryAfter: a.retryAfter(request)}
 }
 
-// retryAfter returns the time to come back for a request that has not run.
+// retryAfter returns the Retry-After time for a request that has not run.
 func (a *admission) retryAfter(request *Request) time.Duration {
 	return a.policy().RetryAfter(request.Route.TargetLatency)
 }
@@ -154,51 +158,52 @@
 	for i, backend := range usable {
 		load, latency := a.loads.get(backend.Incarnation)
 		servers[i] = selection.Server{
-			Running: load.Running + a.peers.Load(backend.IncarnationHash).Running,
-			Slots:   backend.Slots,
-			Near:    backend.Zone == a.zone,
-			Latency: latency,
+			Running:  load.Running + a.peers.Load(backend.IncarnationHash).Running,
+			Slots:    backend.Slots,
+			SameZone: backend.Zone == a.zone,
+			Latency:  latency,
 		}
 	}
 	a.mu.Lock()
 	a.turn++
 	turn := a.turn
 	a.mu.Unlock()
-	placed := &placement{backend: usable[selection.Plain(servers, turn)], load: BackendLoad{Running: 1}}
+	placed := &placement{backend: usable[selection.ChooseServer(servers, turn)], load: BackendLoad{Running: 1}}
 	a.loads.begin(placed.backend.Incarnation, placed.load)
 	return placed
 }
 
-// began notes the first event of a placed request after the time since it was
-// sent.
-func (a *admission) began(request *Request, placed *placement, took time.Duration) {
+// recordFirstEvent records the first event of a placed request, which came this long after
+// the request was sent.
+func (a *admission) recordFirstEvent(request *Request, placed *placement, took time.Duration) {
 	if !placed.model || placed.load.Pending == 0 {
 		return
 	}
-	a.kept.note(request.Prompt.SharedPart(), placed.backend)
-	a.loads.first(placed.backend.Incarnation, placed.load.Pending)
-	if placed.permit == nil { // a cold engine does not tell what engines can do
-		a.loads.read(request.Service, placed.pending, a.paces.read(placed.backend, placed.pending, took))
+	a.segments.recordRead(request.Prompt.SharedSegment(), placed.backend)
+	a.loads.removePending(placed.backend.Incarnation, placed.load.Pending)
+	if placed.permit == nil { // a cold engine's speed says nothing about the others
+		a.loads.recordReading(request.Service, placed.pending, a.paces.recordReading(placed.backend, placed.pending, took))
 	}
 	placed.load.Pending = 0
 }
 
-// delivered notes the end of a stream that came whole. late tells that its first
-// event or a later one missed what the route promises. It is not called while the
-// router's own processor may have made the answer late: that says nothing of the
-// engines, and lower budgets would refuse requests whose engines have room. For the
-// same reason an engine that is still cold does not count.
-func (a *admission) delivered(service fleet.Service, placed *placement, late bool) {
+// recordStreamEnd records the end of a complete stream. late reports whether its first
+// event or a later one came later than the route promises. It is not called while the
+// router's own CPU may have delayed the answer: such delays say nothing about the engines,
+// and lower budgets would refuse requests for which engines have room. For the same reason
+// cold engines do not count.
+func (a *admission) recordStreamEnd(service fleet.Service, placed *placement, late bool) {
 	if placed.permit == nil {
-		a.loads.noteLate(service, late)
-		a.paces.streamed(placed.backend, late)
+		a.loads.recordLateness(service, late)
+		a.paces.recordStreamEnd(placed.backend, late)
 	}
 }
 
-// ended counts a placed request out. ran is false when it did not run.
-func (a *admission) ended(request *Request, placed *placement, ran bool) {
+// release removes a placed request from the loads. ran reports whether it ran; if not, its
+// account gets the tokens back.
+func (a *admission) release(request *Request, placed *placement, ran bool) {
 	if placed.plain != nil {
-		a.leavePlain(placed, ran)
+		a.releasePlain(placed, ran)
 	} else {
 		a.loads.end(placed.backend.Incarnation, placed.load)
 	}
@@ -209,14 +214,13 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if placed.tier == policy.TierIdle {
-		a.ledger.ReturnedIdle(request.Account.Name, request.Prompt.Cost(), boottime.Now())
+		a.ledger.RefundIdle(request.Account.Name, request.Prompt.Cost(), boottime.Now())
 		return
 	}
-	a.ledger.Returned(request.Account.Name, request.Prompt.Cost(), boottime.Now())
+	a.ledger.RefundGranted(request.Account.Name, request.Prompt.Cost(), boottime.Now())
 }
 
-// inputs returns what decisions on requests for models rest on at the moment,
-// for the records.
+// inputs returns the current state behind decisions on model requests, for the request log.
 func (a *admission) inputs(view *knowledge.View) logrus.Fields {
 	fields := logrus.Fields{"headroom": a.loads.headrooms()}
 	if view.Index != nil {
@@ -225,8 +229,8 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	fields["shortage"] = a.ledger.Shortage()
-	if level := a.ledger.Level(); !math.IsInf(level, 1) {
-		fields["share_level"] = level // "level" is the record's own
+	if level := a.ledger.MaxMinShare(); !math.IsInf(level, 1) {
+		fields["share_level"] = level // "level" is the log level
 	}
 	return fields
 }
--- a/internal/gate/await.go
+++ b/internal/gate/await.go
@@ -9,29 +9,32 @@
 )
 
 const (
-	// startTime is how long after its start a router may still have to learn what it needs.
-	startTime = time.Second
-	// startWait is how long a request waits at a router that has just started for the
-	// first answers of the store or of other routers. A refusal would cost the caller one
-	// of few tries and bring it back later than that.
-	startWait = startRetry
-	// startLook is the pause between two looks at what is known.
-	startLook = 5 * time.Millisecond
+	// startupPeriod is the time after the start of a router in which requests wait for the
+	// first fleet state.
+	startupPeriod = time.Second
+	// startupWait is how long a request waits at a router that has just started for the
+	// first answers of the store or of other routers. A refusal would use up one of the
+	// caller's few attempts, and the retry would come later than that.
+	startupWait = startRetryAfter
+	// startupPollInterval is the interval at which a waiting request checks the fleet
+	// state.
+	startupPollInterval = 5 * time.Millisecond
 )
 
-// awaitKnowledge returns what is known once it is enough to serve requests, or what there
-// is when the request has waited for long enough or its caller has left.
-func (h *handler) awaitKnowledge(ctx context.Context, received boottime.Instant) *knowledge.View {
+// awaitFleetState returns the fleet state as soon as it suffices to serve requests, or the
+// incomplete one when the request has waited for startupWait or its caller has
+// disconnected.
+func (h *handler) awaitFleetState(ctx context.Context, received boottime.Instant) *knowledge.View {
 	for {
 		view := h.state.View()
 		waited := boottime.Now().Sub(received)
-		if view.Ready() || waited >= startWait || received.Sub(h.started) >= startTime {
+		if view.Ready() || waited >= startupWait || received.Sub(h.startedAt) >= startupPeriod {
 			return view
 		}
 		select {
 		case <-ctx.Done():
 			return view
-		case <-time.After(startLook):
+		case <-time.After(startupPollInterval):
 		}
 	}
 }
--- a/internal/gate/break_watch.go
+++ b/internal/gate/break_watch.go
@@ -11,253 +11,254 @@
 )
 
 const (
-	// breakSilence is how long a backend server must show no sign of life after a broken
-	// connection before it counts as down.
-	breakSilence = 1500 * time.Millisecond
-	// breakDoubt is that time where requests have been reported as running there. A router
-	// sees only a part of the answers, and what others report of a crashed server is more
-	// than a second old only when those routers have stopped.
-	breakDoubt = 2500 * time.Millisecond
-	// breakRecent is the last part of both times, in which reports count. In the first
-	// part they may be older than the crash.
-	breakRecent = 500 * time.Millisecond
-	// breakRanLeast is how much of breakRecent requests must be reported as running for
-	// the server to count as alive. A request that is just being refused a connection
-	// shows in one report, which holds for a round of beats, 100 ms.
-	breakRanLeast = 150 * time.Millisecond
-	// breakStepMost bounds the time between two calls of judge that counts as watched. A
+	// silenceTimeout is how long a backend server must show no sign of life after a
+	// connection to it was reset before it counts as down.
+	silenceTimeout = 1500 * time.Millisecond
+	// reportedSilenceTimeout replaces silenceTimeout if routers report running requests at
+	// the server. A router sees only some of the answers, and other routers' reports of a
+	// crashed server are more than a second old only when those routers have stopped.
+	reportedSilenceTimeout = 2500 * time.Millisecond
+	// reportWindow is the end of either timeout, in which reports count. Earlier ones may
+	// be older than the crash.
+	reportWindow = 500 * time.Millisecond
+	// minReportedRunning is how much of reportWindow requests must be reported as running
+	// for the server to count as alive. A request whose connection is just being refused
+	// shows in one report, which holds for one round of heartbeats, 100 ms.
+	minReportedRunning = 150 * time.Millisecond
+	// maxJudgeGap is the maximum time between two calls of judge that counts as watched. A
 	// router that was suspended has seen no sign of life, whatever the server did.
-	breakStepMost = 200 * time.Millisecond
-	// breakMargin is the time after which data on a connection older than the break shows
-	// that its server lives, counted anew after each suspension of the router. Data
-	// received before a crash may be read later.
-	breakMargin = 250 * time.Millisecond
-	// pendingMost bounds the breaks without a verdict. A crash of a backend server adds
-	// all requests that it ran.
-	pendingMost = 4096
+	maxJudgeGap = 200 * time.Millisecond
+	// oldConnectionMargin is the time after a reset from which data on an older connection
+	// shows that the server is alive. It starts again after each suspension of the router.
+	// Data received before a crash may be read later.
+	oldConnectionMargin = 250 * time.Millisecond
+	// maxPendingResets bounds the resets without a verdict. A crash of a backend server
+	// adds all requests that it was running.
+	maxPendingResets = 4096
 )
 
-// breakVerdict tells what a broken connection was found to mean. Its values are those of
-// the metric's label.
-type breakVerdict string
+// resetVerdict is the cause of a reset connection. Its values are those of the metric's
+// label.
+type resetVerdict string
 
 const (
-	breakServerWentOn breakVerdict = "server_went_on"
-	breakServerDown   breakVerdict = "server_down"
+	resetServerWentOn resetVerdict = "server_went_on"
+	resetServerDown   resetVerdict = "server_down"
 )
 
-// pendingBreak is a connection that broke while a request ran, before the verdict.
-type pendingBreak struct {
-	print   uint64           // fingerprint of the request
-	at      boottime.Instant // when it was noticed
-	watched time.Duration    // since then, suspensions excluded
-	steady  time.Duration    // part of it since the last suspension
-	ran     time.Duration    // part of breakRecent in which requests were reported there
-	doubted bool             // whether breakDoubt applies
-	refused bool             // whether the server refused a connection afterwards
+// pendingReset is a connection that was reset while a request was running, and has no
+// verdict yet.
+type pendingReset struct {
+	fingerprint     uint64 // of the request
+	noticedAt       boottime.Instant
+	watched         time.Duration // time since noticedAt, suspensions excluded
+	sinceSuspension time.Duration // part of watched since the last suspension
+	reportedRunning time.Duration // part of reportWindow in which requests were reported there
+	extended        bool          // whether reportedSilenceTimeout applies
+	refused         bool          // whether the server refused a connection afterwards
 }
 
-// judgedBreaks are breaks at one backend server that got their verdict together.
-type judgedBreaks struct {
-	incarnation string
-	verdict     breakVerdict
-	prints      []uint64
+// judgedResets are resets at one backend server that got the same verdict together.
+type judgedResets struct {
+	incarnation  string
+	verdict      resetVerdict
+	fingerprints []uint64
 }
 
-// breakWatch decides which broken connections are crashes of backend servers. A break
-// gets its verdict when its server shows that it lives, or when it has shown no sign of
-// life for some time. Moments and what else it rests on are parameters. Its methods may
+// crashDetector decides which reset connections are crashes of backend servers. A reset
+// gets its verdict when its server shows that it is alive, or when it has shown no sign of
+// life for some time. The current time and all other inputs are parameters. Its methods may
 // be called concurrently.
-type breakWatch struct {
-	mu      sync.Mutex
-	servers map[string][]pendingBreak // by incarnation
-	prints  map[uint64]int            // how many of them are of a request, by fingerprint
-	last    boottime.Instant          // last call of judge
-	count   atomic.Int64              // breaks in servers
+type crashDetector struct {
+	mu           sync.Mutex
+	byServer     map[string][]pendingReset // by incarnation
+	byRequest    map[uint64]int            // pending resets by fingerprint of the request
+	lastJudged   boottime.Instant          // time of the last call of judge
+	pendingCount atomic.Int64              // resets in byServer
 }
 
-func newBreakWatch() *breakWatch {
-	return &breakWatch{servers: make(map[string][]pendingBreak), prints: make(map[uint64]int)}
+func newCrashDetector() *crashDetector {
+	return &crashDetector{byServer: make(map[string][]pendingReset), byRequest: make(map[uint64]int)}
 }
 
-// broke notes that a connection broke while the request ran that was sent at the moment.
-// Copies of a request that break together are one piece of evidence. It does nothing when
-// too many breaks are pending.
-func (w *breakWatch) broke(incarnation string, print uint64, sent, now boottime.Instant) {
+// addReset records that a connection was reset while a request sent at the given time was
+// running. Copies of a request whose connections are reset together count once. It does
+// nothing when too many resets are pending.
+func (w *crashDetector) addReset(incarnation string, fingerprint uint64, sentAt, now boottime.Instant) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.count.Load() >= pendingMost {
+	if w.pendingCount.Load() >= maxPendingResets {
 		return
 	}
-	for _, known := range w.servers[incarnation] {
-		if known.print == print && sent <= known.at {
+	for _, pending := range w.byServer[incarnation] {
+		if pending.fingerprint == fingerprint && sentAt <= pending.noticedAt {
 			return
 		}
 	}
-	w.servers[incarnation] = append(w.servers[incarnation], pendingBreak{print: print, at: now})
-	w.prints[print]++
-	w.count.Add(1)
+	w.byServer[incarnation] = append(w.byServer[incarnation], pendingReset{fingerprint: fingerprint, noticedAt: now})
+	w.byRequest[fingerprint]++
+	w.pendingCount.Add(1)
 }
 
-// alive notes data of the server's that were read now, on the connection of a request
-// that was sent at the moment. It returns the breaks that were no crashes. Most calls find
-// no break pending and take no lock.
-func (w *breakWatch) alive(incarnation string, sent, now boottime.Instant) judgedBreaks {
-	if w.count.Load() == 0 {
-		return judgedBreaks{}
+// dataReceived records that data from the server was read at now, on the connection of a
+// request sent at the given time. It returns the resets that were not crashes. Most calls
+// find no pending resets and take no lock.
+func (w *crashDetector) dataReceived(incarnation string, sentAt, now boottime.Instant) judgedResets {
+	if w.pendingCount.Load() == 0 {
+		return judgedResets{}
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	old := now.Sub(w.last) > breakStepMost // the data may have waited for the router
-	return w.settle(incarnation, breakServerWentOn, func(b *pendingBreak) bool {
-		if sent > b.at {
-			// After a refused connection the answer is that of the server's successor.
-			return !b.refused
+	suspended := now.Sub(w.lastJudged) > maxJudgeGap // the data may have arrived before a suspension of the router
+	return w.resolve(incarnation, resetServerWentOn, func(r *pendingReset) bool {
+		if sentAt > r.noticedAt {
+			// After a refused connection the answer comes from a restarted server.
+			return !r.refused
 		}
-		return !old && b.steady >= breakMargin
+		return !suspended && r.sinceSuspension >= oldConnectionMargin
 	})
 }
 
-// refused notes that the server refused a connection for a request that was placed at the
-// moment: nothing listens there.
-func (w *breakWatch) refused(incarnation string, placed boottime.Instant) {
+// connectionRefused records that the server refused a connection for a request placed at
+// the given time: nothing is listening there.
+func (w *crashDetector) connectionRefused(incarnation string, placedAt boottime.Instant) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	breaks := w.servers[incarnation]
-	for i := range breaks {
-		if placed > breaks[i].at {
-			breaks[i].refused = true
+	resets := w.byServer[incarnation]
+	for i := range resets {
+		if placedAt > resets[i].noticedAt {
+			resets[i].refused = true
 		}
 	}
 }
 
-// due tells whether judge is to be called.
-func (w *breakWatch) due(now boottime.Instant) bool {
+// due reports whether judge is to be called.
+func (w *crashDetector) due(now boottime.Instant) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return now.Sub(w.last) >= judgeInterval/2
+	return now.Sub(w.lastJudged) >= judgeInterval/2
 }
 
-// incarnations returns those with pending breaks.
-func (w *breakWatch) incarnations() []string {
+// incarnations returns those with pending resets.
+func (w *crashDetector) incarnations() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return lo.Keys(w.servers)
+	return lo.Keys(w.byServer)
 }
 
-// serverReport is what is known of an incarnation without its answers.
+// serverReport is what is known of an incarnation apart from its answers.
 type serverReport int
 
 const (
 	reportIdle     serverReport = iota // no router reports requests there
 	reportRunning                      // this router or another has requests there
-	reportUnlisted                     // its entry is gone, or replaced by a later start
+	reportUnlisted                     // it is no longer listed, or has restarted
 )
 
-// judge returns the breaks that get their verdict now. Time counts as watched only while
-// it is called at least once in breakStepMost.
-func (w *breakWatch) judge(now boottime.Instant, report func(incarnation string) serverReport) []judgedBreaks {
+// judge returns the resets that get their verdict now. Time counts as watched only while it
+// is called at least once per maxJudgeGap.
+func (w *crashDetector) judge(now boottime.Instant, report func(incarnation string) serverReport) []judgedResets {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	step := now.Sub(w.last)
-	w.last = now
-	var judged []judgedBreaks
-	for incarnation, breaks := range w.servers {
+	step := now.Sub(w.lastJudged)
+	w.lastJudged = now
+	var judged []judgedResets
+	for incarnation, resets := range w.byServer {
 		reported := report(incarnation)
-		for i := range breaks {
-			breaks[i].watch(step, now, reported == reportRunning)
+		for i := range resets {
+			resets[i].advance(step, now, reported == reportRunning)
 		}
-		for _, verdict := range []breakVerdict{breakServerDown, breakServerWentOn} {
-			some := w.settle(incarnation, verdict, func(b *pendingBreak) bool { return b.verdict(reported) == verdict })
-			if len(some.prints) > 0 {
-				judged = append(judged, some)
+		for _, verdict := range []resetVerdict{resetServerDown, resetServerWentOn} {
+			reset := w.resolve(incarnation, verdict, func(r *pendingReset) bool { return r.verdict(reported) == verdict })
+			if len(reset.fingerprints) > 0 {
+				judged = append(judged, reset)
 			}
 		}
 	}
 	return judged
 }
 
-// watch counts the time since the last look, or since the break if that was later.
-func (b *pendingBreak) watch(step time.Duration, now boottime.Instant, running bool) {
-	step = max(min(step, now.Sub(b.at)), 0)
-	suspended := step > breakStepMost
-	step = min(step, breakStepMost)
-	b.watched += step
-	b.steady += step
+// advance adds the time since the last call of judge, or since the reset if that was later.
+func (r *pendingReset) advance(step time.Duration, now boottime.Instant, running bool) {
+	step = max(min(step, now.Sub(r.noticedAt)), 0)
+	suspended := step > maxJudgeGap
+	step = min(step, maxJudgeGap)
+	r.watched += step
+	r.sinceSuspension += step
 	if suspended {
-		b.steady = 0
+		r.sinceSuspension = 0
 	}
 	if running {
-		// Only the part of the step that lies in breakRecent counts.
-		limit := b.limit()
-		b.ran += max(min(b.watched, limit)-max(b.watched-step, limit-breakRecent), 0)
+		// Only the part of the step that lies in reportWindow counts.
+		limit := r.silenceLimit()
+		r.reportedRunning += max(min(r.watched, limit)-max(r.watched-step, limit-reportWindow), 0)
 	}
-	if !b.doubted && b.ran > 0 && b.watched >= breakSilence {
-		b.doubted, b.ran = true, 0
+	if !r.extended && r.reportedRunning > 0 && r.watched >= silenceTimeout {
+		r.extended, r.reportedRunning = true, 0
 	}
 }
 
-// limit returns how long the server may show no sign of life.
-func (b *pendingBreak) limit() time.Duration {
-	if b.doubted {
-		return breakDoubt
+// silenceLimit returns how long the server may show no sign of life.
+func (r *pendingReset) silenceLimit() time.Duration {
+	if r.extended {
+		return reportedSilenceTimeout
 	}
-	return breakSilence
+	return silenceTimeout
 }
 
-// verdict returns what the break means by now, "" while that is open.
-func (b *pendingBreak) verdict(reported serverReport) breakVerdict {
+// verdict returns the verdict on the reset, or "" if there is none yet.
+func (r *pendingReset) verdict(reported serverReport) resetVerdict {
 	switch {
-	case b.watched < breakSilence:
+	case r.watched < silenceTimeout:
 		return ""
-	case b.refused || reported == reportUnlisted:
-		return breakServerDown
-	case b.watched < b.limit():
+	case r.refused || reported == reportUnlisted:
+		return resetServerDown
+	case r.watched < r.silenceLimit():
 		return ""
-	case b.ran >= breakRanLeast:
-		return breakServerWentOn
+	case r.reportedRunning >= minReportedRunning:
+		return resetServerWentOn
 	}
-	return breakServerDown
+	return resetServerDown
 }
 
-// settle removes the breaks at a server to which the verdict applies and returns them.
-func (w *breakWatch) settle(incarnation string, verdict breakVerdict, applies func(b *pendingBreak) bool) judgedBreaks {
-	judged := judgedBreaks{incarnation: incarnation, verdict: verdict}
-	breaks := w.servers[incarnation]
-	if len(breaks) == 0 {
+// resolve removes the resets at a server to which the verdict applies and returns them.
+func (w *crashDetector) resolve(incarnation string, verdict resetVerdict, applies func(r *pendingReset) bool) judgedResets {
+	judged := judgedResets{incarnation: incarnation, verdict: verdict}
+	resets := w.byServer[incarnation]
+	if len(resets) == 0 {
 		return judged
 	}
-	kept := breaks[:0]
-	for _, b := range breaks {
-		if applies(&b) {
-			judged.prints = append(judged.prints, b.print)
-			w.forget(b.print)
+	kept := resets[:0]
+	for _, r := range resets {
+		if applies(&r) {
+			judged.fingerprints = append(judged.fingerprints, r.fingerprint)
+			w.forget(r.fingerprint)
 			continue
 		}
-		kept = append(kept, b)
+		kept = append(kept, r)
 	}
-	w.servers[incarnation] = kept
+	w.byServer[incarnation] = kept
 	if len(kept) == 0 {
-		delete(w.servers, incarnation)
+		delete(w.byServer, incarnation)
 	}
-	w.count.Add(-int64(len(judged.prints)))
+	w.pendingCount.Add(-int64(len(judged.fingerprints)))
 	return judged
 }
 
-// forget counts a break of the request out.
-func (w *breakWatch) forget(print uint64) {
-	w.prints[print]--
-	if w.prints[print] == 0 {
-		delete(w.prints, print)
+// forget removes one pending reset of the request from the count.
+func (w *crashDetector) forget(fingerprint uint64) {
+	w.byRequest[fingerprint]--
+	if w.byRequest[fingerprint] == 0 {
+		delete(w.byRequest, fingerprint)
 	}
 }
 
-// pending returns how many breaks of the request have no verdict yet.
-func (w *breakWatch) pending(print uint64) int {
-	if w.count.Load() == 0 {
+// pendingFor returns how many resets of the request have no verdict yet.
+func (w *crashDetector) pendingFor(fingerprint uint64) int {
+	if w.pendingCount.Load() == 0 {
 		return 0
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.prints[print]
+	return w.byRequest[fingerprint]
 }
--- a/internal/gate/connections_test.go
+++ b/internal/gate/connection_stats_test.go
@@ -12,26 +12,26 @@
 	"github.com/bluebellchute/bluebellchute/internal/event"
 )
 
-// Guards against counts that are written twice, empty records while nothing is
-// opened, and idle times or stated timeouts that get lost.
-func TestConnectionsRecord(t *testing.T) {
+// Guards against counts that are logged twice, empty log entries while nothing is opened,
+// and lost idle times or stated timeouts.
+func TestConnectionStatsLog(t *testing.T) {
 	logger, hook := test.NewNullLogger()
-	counted := newConnections(logger, prometheus.NewRegistry())
-	counted.write()
+	counted := newConnectionStats(logger, prometheus.NewRegistry())
+	counted.logOpened()
 	if n := len(hook.AllEntries()); n != 0 {
-		t.Fatalf("%d records of no openings", n)
+		t.Fatalf("%d log entries without opened connections", n)
 	}
 	for _, opening := range []backendconn.Opening{
 		{Reason: backendconn.ReasonFirst},
-		{Reason: backendconn.ReasonExpired, Idle: time.Second},
-		{Reason: backendconn.ReasonExpired, Idle: 3 * time.Second, Stated: 2 * time.Second},
+		{Reason: backendconn.ReasonExpired, IdleTime: time.Second},
+		{Reason: backendconn.ReasonExpired, IdleTime: 3 * time.Second, StatedTimeout: 2 * time.Second},
 	} {
 		counted.opened(opening)
 	}
-	counted.write()
-	counted.write()
+	counted.logOpened()
+	counted.logOpened()
 	if n := len(hook.AllEntries()); n != 1 {
-		t.Fatalf("%d records, want 1", n)
+		t.Fatalf("%d log entries, want 1", n)
 	}
 	fields := hook.LastEntry().Data
 	if fields["event"] != event.GateConnections.Number {
@@ -41,25 +41,25 @@
 	if got, _ := fields["opened"].(map[backendconn.Reason]int); !maps.Equal(got, want) {
 		t.Errorf("opened %v, want %v", got, want)
 	}
-	idle, _ := fields["idle"].(map[backendconn.Reason]*idleTally)
+	idle, _ := fields["idle"].(map[backendconn.Reason]*idleTimes)
 	if len(idle) != 1 || idle[backendconn.ReasonExpired] == nil {
 		t.Fatalf("idle times of %v, want of expired connections only", idle)
 	}
 	got := *idle[backendconn.ReasonExpired]
 	got.count, got.sum = 0, 0
-	if want := (idleTally{Least: 1000, Mean: 2000, Most: 3000, StatedLeast: 0, StatedMost: 2000}); got != want {
+	if want := (idleTimes{Min: 1000, Mean: 2000, Max: 3000, StatedMin: 0, StatedMax: 2000}); got != want {
 		t.Errorf("idle %+v, want %+v", got, want)
 	}
 }
 
-// Guards against metrics that are not registered, and against idle times of 0
-// from reasons that know none.
-func TestConnectionsMetrics(t *testing.T) {
+// Guards against metrics that are not registered, and against idle times of 0 for reasons
+// that have none.
+func TestConnectionStatsMetrics(t *testing.T) {
 	logger, _ := test.NewNullLogger()
 	registry := prometheus.NewRegistry()
-	counted := newConnections(logger, registry)
+	counted := newConnectionStats(logger, registry)
 	counted.opened(backendconn.Opening{Reason: backendconn.ReasonBusy})
-	counted.opened(backendconn.Opening{Reason: backendconn.ReasonClosed, Idle: 3 * time.Second})
+	counted.opened(backendconn.Opening{Reason: backendconn.ReasonClosed, IdleTime: 3 * time.Second})
 	families, err := registry.Gather()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gate/decisions_test.go
+++ b/internal/gate/decisions_test.go
@@ -11,13 +11,13 @@
 	"github.com/bluebellchute/bluebellchute/internal/pace"
 )
 
-// routers is a fleet of so many routers.
+// routers is a fleet with this number of routers.
 type routers int
 
 func (routers) Load(uint32) BackendLoad                            { return BackendLoad{} }
 func (routers) Paces(boottime.Instant) map[uint32]pace.Observation { return nil }
-func (routers) Contact() boottime.Instant                          { return boottime.Now() }
-func (routers) Follows() bool                                      { return true }
+func (routers) StoreContact() boottime.Instant                     { return boottime.Now() }
+func (routers) WatchesStore() bool                                 { return true }
 func (r routers) Routers() int                                     { return int(r) }
 func (r routers) Order(uint64) (int, int)                          { return 0, int(r) }
 func (routers) Settled() bool                                      { return true }
@@ -25,8 +25,8 @@
 func knownView(configured boottime.Instant) *knowledge.View {
 	state := knowledge.NewState()
 	state.SetConfiguration(&knowledge.Configuration{
-		Version: 1,
-		Keyed:   true,
+		Version:      1,
+		KeysRequired: true,
 		Routes: []knowledge.Route{
 			{Host: "h", PathPrefix: "/a/", Timeout: time.Second, Destinations: []knowledge.Destination{{Service: "s", Weight: 1}}},
 			{Host: "h", PathPrefix: "/p/", Public: true, Destinations: []knowledge.Destination{{Service: "s", Weight: 1}}},
@@ -37,11 +37,10 @@
 	return state.View()
 }
 
-// Symptom: a withdrawn key is taken, or a new route is denied for good.
-// Events: the store does not reach the router; the configuration changes.
-// Cause: the router went by what it knew, however old.
-func TestOldKnowledgeDeniesNothingAndTakesNoKey(t *testing.T) {
-	fresh := Freshness{Keyed: 4 * time.Second, Final: 1800 * time.Millisecond}
+// Guards against accepting a withdrawn key, or denying a new route permanently, when the
+// configuration changes while the router is cut off from the store.
+func TestStaleConfigurationDeniesNothingAndAcceptsNoKey(t *testing.T) {
+	fresh := Freshness{KeyMaxAge: 4 * time.Second, DenialMaxAge: 1800 * time.Millisecond}
 	for _, test := range []struct {
 		age       time.Duration
 		path, key string
@@ -70,60 +69,59 @@
 	}
 }
 
-func TestNothingIsKnown(t *testing.T) {
+func TestNoStateReceived(t *testing.T) {
 	refusal := identify(&Request{Host: "h", Path: "/a/x"}, knowledge.NewState().View(), Freshness{}, 0)
 	if refusal == nil || refusal.Status != http.StatusServiceUnavailable || refusal.RetryAfter == 0 {
-		t.Errorf("%+v, want 503 with a time", refusal)
+		t.Errorf("%+v, want 503 with a retry delay", refusal)
 	}
 }
 
-// Symptom: a service in trouble gets more second sends than agreed.
-// Events: all backend servers of a service fail.
-// Cause: each router used the whole fleet's budget.
+// Guards against more retries than agreed when all backend servers of a service fail and
+// each router uses the budget of the whole fleet.
 func TestBudgetIsSharedByTheRouters(t *testing.T) {
-	settings := newCurrentSettings(Settings{Budget: BudgetSettings{Ratio: 0.2, Extra: 50, Window: 10 * time.Second}})
+	settings := newCurrentSettings(Settings{Budget: RetryBudgetSettings{Ratio: 0.2, Extra: 50, Window: 10 * time.Second}})
 	const fleetSize = 5
 	total := 0
 	for range fleetSize {
 		budget := newRetryBudget(settings, routers(fleetSize))
 		for range 100 {
-			budget.earn("s")
+			budget.credit("s")
 			for budget.spend("s") {
 				total++
 			}
 		}
 	}
 	if most := 50 + 0.2*100*fleetSize; float64(total) > most {
-		t.Errorf("%d second sends, agreed are %v", total, most)
+		t.Errorf("%d retries, at most %v are agreed", total, most)
 	}
 	if total == 0 {
-		t.Error("there were none at all")
+		t.Error("no retries at all")
 	}
 }
 
 func TestSuspectsCountEachRouterOnce(t *testing.T) {
 	suspects := newSuspects()
-	suspects.heard("10.0.0.1:1", 7)
-	suspects.heard("10.0.0.1:1", 7)
+	suspects.crashReported("10.0.0.1:1", 7)
+	suspects.crashReported("10.0.0.1:1", 7)
 	if suspects.refused(7) {
-		t.Error("one break, told twice, counts as two")
+		t.Error("one crash that is reported twice counts as two")
 	}
-	suspects.broke(7)
+	suspects.crashed(7)
 	if !suspects.refused(7) {
-		t.Error("two breaks at two routers do not count")
+		t.Error("two crashes at two routers do not count")
 	}
-	if got := suspects.takeFresh(); len(got) != 1 || got[0] != 7 {
-		t.Errorf("to be told: %v", got)
+	if got := suspects.takeUnreported(); len(got) != 1 || got[0] != 7 {
+		t.Errorf("to be reported: %v", got)
 	}
 }
 
 func TestSuspectsAreBounded(t *testing.T) {
 	suspects := newSuspects()
-	for print := range uint64(3 * suspectsMost) {
-		suspects.broke(print)
+	for print := range uint64(3 * maxSuspects) {
+		suspects.crashed(print)
 	}
-	if got := len(suspects.known); got > suspectsMost {
-		t.Errorf("%d are remembered", got)
+	if got := len(suspects.known); got > maxSuspects {
+		t.Errorf("%d fingerprints are stored", got)
 	}
 }
 
@@ -133,36 +131,35 @@
 	tokens := 5000.0
 	for range 300 {
 		loads.begin("i", BackendLoad{Running: 1, Pending: tokens})
-		loads.first("i", tokens)
-		loads.read("s", tokens, time.Duration(tokens/real*float64(time.Second)))
+		loads.removePending("i", tokens)
+		loads.recordReading("s", tokens, time.Duration(tokens/real*float64(time.Second)))
 	}
 	if got := loads.rate("s", assumed); got < 0.85*real || got > real {
-		t.Errorf("%v prompt tokens a second, they were %v", got, real)
+		t.Errorf("%v prompt tokens per second, want %v", got, real)
 	}
 	if got := loads.rate("other", assumed); got != assumed {
 		t.Errorf("%v without an observation, want %v", got, assumed)
 	}
 }
 
-// Symptom: a backend server that fails gets its share of requests.
-// Events: it answers with errors while its health check is good.
-// Cause: answers were not looked at.
-func TestFailingBackendIsShunnedForAWhile(t *testing.T) {
+// Guards against sending requests to a backend server that answers with errors while its
+// health check passes.
+func TestFailingBackendIsEjectedForATime(t *testing.T) {
 	loads := newLoads()
 	now := boottime.Now()
 	for range 10 {
-		loads.answered("i", false, 0)
+		loads.recordAnswer("i", false, 0)
 	}
-	if !loads.shunnedNow(now)["i"] {
-		t.Error("it is not shunned")
+	if !loads.ejectedAt(now)["i"] {
+		t.Error("not ejected")
 	}
-	if loads.shunnedNow(now.Add(2 * shunTime))["i"] {
-		t.Error("it is never tried again")
+	if loads.ejectedAt(now.Add(2 * ejectionTime))["i"] {
+		t.Error("never tried again")
 	}
 	for i := range 50 {
-		loads.answered("j", i%7 != 0, time.Millisecond)
+		loads.recordAnswer("j", i%7 != 0, time.Millisecond)
 	}
-	if loads.shunnedNow(now)["j"] {
+	if loads.ejectedAt(now)["j"] {
 		t.Error("a seventh of failures is usual for some services")
 	}
 }
@@ -171,23 +168,23 @@
 	loads := newLoads()
 	load := BackendLoad{Running: 1, Pending: 10, Memory: 20}
 	loads.begin("i", load)
-	loads.first("i", 10)
-	loads.read("s", 10, time.Millisecond)
+	loads.removePending("i", 10)
+	loads.recordReading("s", 10, time.Millisecond)
 	load.Pending = 0
 	loads.end("i", load)
 	if got, _ := loads.get("i"); got != (BackendLoad{}) {
 		t.Errorf("%+v is left", got)
 	}
-	loads.keep(map[string]*knowledge.Backend{})
+	loads.prune(map[string]*knowledge.Backend{})
 	if got := len(loads.snapshot()); got != 0 {
-		t.Errorf("%d are told to others", got)
+		t.Errorf("%d are reported to others", got)
 	}
 }
 
-func TestPromptParts(t *testing.T) {
-	prompt := Prompt{Tokens: 1460, MaxOutput: 80, ExpectedOutput: 50, Parts: []PromptPart{{"a", 800}, {"b", 410}, {"c", 250}}}
-	if got := prompt.SharedPart(); got != "b" {
-		t.Errorf("shared part %q", got)
+func TestPromptSegments(t *testing.T) {
+	prompt := Prompt{Tokens: 1460, MaxOutput: 80, ExpectedOutput: 50, Segments: []PromptSegment{{"a", 800}, {"b", 410}, {"c", 250}}}
+	if got := prompt.SharedSegment(); got != "b" {
+		t.Errorf("shared segment %q", got)
 	}
 	if got := prompt.SharedTokens(); got != 1210 {
 		t.Errorf("%d shared tokens", got)
@@ -195,11 +192,11 @@
 	if got := prompt.Cost(); got != 1560 {
 		t.Errorf("cost %v", got)
 	}
-	if got := (Prompt{Tokens: 5, Parts: []PromptPart{{"a", 5}}}).SharedPart(); got != "a" {
-		t.Errorf("shared part %q of one", got)
+	if got := (Prompt{Tokens: 5, Segments: []PromptSegment{{"a", 5}}}).SharedSegment(); got != "a" {
+		t.Errorf("shared segment %q of one", got)
 	}
-	if (Prompt{}).SharedPart() != "" || (Prompt{}).SharedTokens() != 0 {
-		t.Error("an empty prompt has shared parts")
+	if (Prompt{}).SharedSegment() != "" || (Prompt{}).SharedTokens() != 0 {
+		t.Error("an empty prompt has shared segments")
 	}
 }
 
--- a/internal/gate/local.go
+++ b/internal/gate/local.go
@@ -11,66 +11,65 @@
 	"github.com/bluebellchute/bluebellchute/internal/shares"
 )
 
-// Uses returns what each account asked and got here.
-func (m *Manager) Uses() map[fleet.Account]shares.Use {
+// Usages returns what each account requested and was granted at this router.
+func (m *Manager) Usages() map[fleet.Account]shares.Usage {
 	a := m.handler.admission
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.ledger.Own(boottime.Now())
 }
 
-// Loads returns what runs at backend servers, by the hashes of their
-// incarnations.
+// Loads returns this router's load at backend servers, by incarnation hash.
 func (m *Manager) Loads() map[uint32]BackendLoad {
 	loaded := m.handler.admission.loads.snapshot()
 	hashed := make(map[uint32]BackendLoad, len(loaded))
-	for id, load := range loaded {
-		hashed[knowledge.IncarnationHash(id)] = load
+	for incarnation, load := range loaded {
+		hashed[knowledge.IncarnationHash(incarnation)] = load
 	}
 	return hashed
 }
 
-// Paces returns what this router has seen of how fast backend servers work, by the
-// hashes of their incarnations.
+// Paces returns what this router has observed of the speed of backend servers, by
+// incarnation hash.
 func (m *Manager) Paces() map[uint32]pace.Observation {
 	return m.handler.admission.paces.own(boottime.Now())
 }
 
-// TakeBroken returns the fingerprints of requests that were found here, since the
-// last call, to have run at a backend server that went down.
-func (m *Manager) TakeBroken() []uint64 { return m.handler.suspects.takeFresh() }
+// TakeCrashFingerprints returns the fingerprints of requests that this router has found,
+// since the last call, to have been running at a backend server when it crashed.
+func (m *Manager) TakeCrashFingerprints() []uint64 { return m.handler.suspects.takeUnreported() }
 
-// SetUses takes the uses of another router.
-func (m *Manager) SetUses(router fleet.Address, uses map[fleet.Account]shares.Use) {
+// SetUsages records the account usages of another router.
+func (m *Manager) SetUsages(router fleet.Address, uses map[fleet.Account]shares.Usage) {
 	a := m.handler.admission
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.ledger.SetOther(string(router), uses, boottime.Now())
 }
 
-// RemoveUses forgets a router that is no longer heard.
-func (m *Manager) RemoveUses(router fleet.Address) {
+// RemoveUsages removes the account usages of a router that is no longer reachable.
+func (m *Manager) RemoveUsages(router fleet.Address) {
 	a := m.handler.admission
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.ledger.RemoveOther(string(router))
 }
 
-// HeardBroken takes a fingerprint from another router.
-func (m *Manager) HeardBroken(router fleet.Address, fingerprint uint64) {
-	m.handler.suspects.heard(router, fingerprint)
+// ReceiveCrashFingerprint records a fingerprint reported by another router.
+func (m *Manager) ReceiveCrashFingerprint(router fleet.Address, fingerprint uint64) {
+	m.handler.suspects.crashReported(router, fingerprint)
 }
 
-// Status is what a router tells operators of itself.
+// Status is what a router reports about itself to operators.
 type Status struct {
 	VM       string
 	Zone     fleet.Zone
-	NotReady string       // why the balancer should send no callers, "" if it should
+	NotReady string       // why the load balancer should send no callers, "" if it should
 	Running  int          // requests at backend servers
-	Engines  []EnginePace // those that tell how long work takes
+	Engines  []EnginePace // those with known work times
 }
 
-// Status returns what operators want to know.
+// Status returns the router's status for operators.
 func (m *Manager) Status() Status {
 	return Status{
 		VM:       m.options.VM,
@@ -81,13 +80,13 @@
 	}
 }
 
-// SetDrained carries out an operator's order. The balancer sends new callers
-// elsewhere while the router is drained, and those that are connected are told
-// to connect anew; what comes all the same is served. It returns the requests
-// in progress.
+// SetDrained drains the router or takes it back into use, as an operator has ordered. While
+// it is drained, the load balancer sends new callers elsewhere, and connected callers are
+// asked to reconnect; requests that arrive nevertheless are served. It returns the number
+// of requests in progress.
 func (m *Manager) SetDrained(drained bool, operator, reason string) int {
-	m.handler.drained.Store(drained)
-	event.GateDrained.Log(m.options.Logger, logrus.Fields{"drained": drained, "operator": operator, "reason": reason})
+	m.handler.drainedByOperator.Store(drained)
+	event.GateDrainOrdered.Log(m.options.Logger, logrus.Fields{"drained": drained, "operator": operator, "reason": reason})
 	return m.running()
 }
 
--- a/internal/gate/paces.go
+++ b/internal/gate/paces.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// paceInterval is the pause between two snapshots of paces. Merging all routers'
-	// figures for each request would cost more than the decision.
-	paceInterval = 100 * time.Millisecond
-	// paceStale is the age from which requests wait for a new snapshot, as after a pause
-	// of the process, instead of going by the last one while the next one is built. It is
-	// no longer than a reported work time stands for the current one.
-	paceStale = 400 * time.Millisecond
-	// serviceSeconds is the reading that must have been seen of a service before its
-	// rate is compared with single engines'.
-	serviceSeconds = 3
+	// snapshotInterval is the interval between two snapshots of paces. Merging the
+	// observations of all routers for each request would cost more than the decision.
+	snapshotInterval = 100 * time.Millisecond
+	// maxSnapshotAge is the age from which requests wait for a new snapshot, as after a
+	// pause of the process, instead of using the last one while the next one is built. It
+	// is no more than the time for which a reported work time counts as current.
+	maxSnapshotAge = 400 * time.Millisecond
+	// minReadingSeconds is the time that engines of a service must have spent reading
+	// before the service's rate is compared with the rates of single engines.
+	minReadingSeconds = 3
 )
 
-// paces is what is known of how fast each backend server works. Its methods may be
+// paces holds the observed and reported speed of each backend server. Its methods may be
 // called concurrently.
 type paces struct {
 	settings *currentSettings
@@ -33,28 +33,29 @@
 	peers    Peers
 	table    *pace.Table
 
-	building sync.Mutex // is held by whoever builds a snapshot
-	built    atomic.Pointer[builtPaces]
-	watcher  atomic.Pointer[paceWatch] // nil until it is set
+	building sync.Mutex // held while a snapshot is built
+	built    atomic.Pointer[paceSnapshot]
+	monitor  atomic.Pointer[paceMonitor] // nil until export is called
 
 	mu     sync.Mutex
-	listed map[uint32]*knowledge.Backend // by the hashes of their incarnations
+	listed map[uint32]*knowledge.Backend // by incarnation hash
 }
 
-// builtPaces is a snapshot and what follows from it.
-type builtPaces struct {
+// paceSnapshot is a snapshot with figures derived from it.
+type paceSnapshot struct {
 	snapshot *pace.Snapshot
-	at       boottime.Instant
-	services map[fleet.Service]serviceTold
+	builtAt  boottime.Instant
+	services map[fleet.Service]reportCounts
 	listed   map[uint32]*knowledge.Backend
 }
 
-// serviceTold counts the servers of a service that tell a work time.
-type serviceTold struct{ servers, contradicted int }
+// reportCounts counts the servers of a service that report a work time, and those whose
+// reports contradict the observations.
+type reportCounts struct{ servers, contradicted int }
 
-// doubtful tells that most servers contradict the rate of the service: that is wrong
-// rather than all of them.
-func (s serviceTold) doubtful() bool { return 2*s.contradicted > s.servers }
+// rateDoubtful reports whether most servers contradict the rate of the service: then the
+// rate is probably wrong, not the servers.
+func (s reportCounts) rateDoubtful() bool { return 2*s.contradicted > s.servers }
 
 func newPaces(settings *currentSettings, loads *loads, peers Peers) *paces {
 	return &paces{
@@ -66,59 +67,59 @@
 	}
 }
 
-// enabled tells whether the settings ask for paces.
+// enabled reports whether paces are switched on.
 func (p *paces) enabled() bool { return p.settings.get().Engines.Pace }
 
-// heed takes what a backend server tells of its load with an answer.
-func (p *paces) heed(backend *knowledge.Backend, reply Reply, now boottime.Instant) {
+// recordReport records the load that a backend server reported with an answer.
+func (p *paces) recordReport(backend *knowledge.Backend, reply Reply, now boottime.Instant) {
 	if !p.enabled() {
 		return
 	}
-	watcher := p.watcher.Load()
-	if reply.BadLoad {
+	watcher := p.monitor.Load()
+	if reply.MalformedLoad {
 		watcher.count(reportMalformed)
 		return
 	}
 	if reply.Load.WorkTime == 0 {
 		return
 	}
-	p.list(backend)
-	p.table.Told(backend.IncarnationHash, reply.Load, now)
-	if p.engine(backend.IncarnationHash).Contradicted {
+	p.addBackend(backend)
+	p.table.RecordReport(backend.IncarnationHash, reply.Load, now)
+	if p.estimate(backend.IncarnationHash).Contradicted {
 		watcher.count(reportContradicted)
 		return
 	}
 	watcher.count(reportTaken)
 }
 
-// read notes that an engine took the time to read the prompt tokens that were waiting,
-// and returns the time that an engine at work time 1 would have taken.
-func (p *paces) read(backend *knowledge.Backend, pending float64, took time.Duration) time.Duration {
+// recordReading records how long an engine took to read the pending prompt tokens, and
+// returns the time that an engine with work time 1 would have taken.
+func (p *paces) recordReading(backend *knowledge.Backend, pending float64, took time.Duration) time.Duration {
 	if !p.enabled() {
 		return took
 	}
-	p.table.Read(backend.IncarnationHash, pending, took, boottime.Now())
+	p.table.RecordFirstEvent(backend.IncarnationHash, pending, took, boottime.Now())
 	built := p.current()
 	engine := built.snapshot.Engine(backend.IncarnationHash)
-	if !engine.Told {
+	if !engine.HasReport {
 		return took
 	}
 	workTime := engine.Usual
-	if engine.Contradicted && built.services[backend.Service].doubtful() {
-		// By what is seen of them, these engines would confirm a wrong rate for ever.
+	if engine.Contradicted && built.services[backend.Service].rateDoubtful() {
+		// With their observed work times, these engines would confirm a wrong rate forever.
 		workTime = engine.Reported
 	}
 	return time.Duration(float64(took) / workTime)
 }
 
-// streamed notes the end of a whole stream, and whether it was late.
-func (p *paces) streamed(backend *knowledge.Backend, late bool) {
+// recordStreamEnd records the end of a complete stream, and whether it was late.
+func (p *paces) recordStreamEnd(backend *knowledge.Backend, late bool) {
 	if p.enabled() {
-		p.table.Streamed(backend.IncarnationHash, late, boottime.Now())
+		p.table.RecordStreamEnd(backend.IncarnationHash, late, boottime.Now())
 	}
 }
 
-// own returns what this router has seen, for the others.
+// own returns this router's observations, for the other routers.
 func (p *paces) own(now boottime.Instant) map[uint32]pace.Observation {
 	if !p.enabled() {
 		return nil
@@ -126,36 +127,36 @@
 	return p.table.Own(now)
 }
 
-// engine returns what is expected of a backend server by the hash of its incarnation.
-// Who looks at many at once takes one snapshot for all of them.
-func (p *paces) engine(hash uint32) pace.Estimate { return p.snapshot().Engine(hash) }
+// estimate returns the expected speed of a backend server, given by its incarnation hash.
+// To look at many servers, take one snapshot for all of them.
+func (p *paces) estimate(hash uint32) pace.Estimate { return p.snapshot().Engine(hash) }
 
-// snapshot returns what is expected of all backend servers. It is empty while paces are
+// snapshot returns the expected speed of all backend servers. It is empty while paces are
 // switched off.
 func (p *paces) snapshot() *pace.Snapshot { return p.current().snapshot }
 
-// told tells whether any listed server of the service tells a work time. Where none
-// does, nothing may depend on paces.
-func (p *paces) told(service fleet.Service) bool {
+// hasReports reports whether any listed server of the service reports a work time. If none
+// does, no decision may depend on paces.
+func (p *paces) hasReports(service fleet.Service) bool {
 	return p.enabled() && p.current().services[service].servers > 0
 }
 
-// noPaces are those of a gate in which they are switched off.
-var noPaces = &builtPaces{snapshot: &pace.Snapshot{}}
+// noPaces is the snapshot while paces are switched off.
+var noPaces = &paceSnapshot{snapshot: &pace.Snapshot{}}
 
-// current returns the snapshot of the moment. One that is due is built in the background,
-// as merging what the routers of a large fleet report takes milliseconds; requests wait
-// for it only while the last one is too old to go by.
-func (p *paces) current() *builtPaces {
+// current returns the current snapshot. When a new one is due, it is built in the
+// background, since merging the reports of the routers of a large fleet takes milliseconds.
+// Requests wait for it only if the last one is older than maxSnapshotAge.
+func (p *paces) current() *paceSnapshot {
 	if !p.enabled() {
 		return noPaces
 	}
 	now := boottime.Now()
 	built := p.built.Load()
-	if built.fresh(now, paceInterval) {
+	if built.youngerThan(now, snapshotInterval) {
 		return built
 	}
-	if built.fresh(now, paceStale) {
+	if built.youngerThan(now, maxSnapshotAge) {
 		if p.building.TryLock() {
 			go func() {
 				defer p.building.Unlock()
@@ -169,25 +170,25 @@
 	return p.refresh(now)
 }
 
-// refresh returns the snapshot of the moment and builds it if no one else has meanwhile.
-// Its caller holds the lock for building.
-func (p *paces) refresh(now boottime.Instant) *builtPaces {
+// refresh returns the current snapshot, and builds it unless another goroutine has done so
+// meanwhile. The caller must hold the building lock.
+func (p *paces) refresh(now boottime.Instant) *paceSnapshot {
 	built := p.built.Load()
-	if built.fresh(now, paceInterval) {
+	if built.youngerThan(now, snapshotInterval) {
 		return built
 	}
 	built = p.build(now)
 	p.built.Store(built)
-	p.watcher.Load().changed(built)
+	p.monitor.Load().logChange(built)
 	return built
 }
 
-// fresh tells whether the snapshot is younger than the age.
-func (b *builtPaces) fresh(now boottime.Instant, age time.Duration) bool {
-	return b != nil && now.Sub(b.at) < age
+// youngerThan reports whether the snapshot exists and is younger than the given age.
+func (b *paceSnapshot) youngerThan(now boottime.Instant, age time.Duration) bool {
+	return b != nil && now.Sub(b.builtAt) < age
 }
 
-func (p *paces) build(now boottime.Instant) *builtPaces {
+func (p *paces) build(now boottime.Instant) *paceSnapshot {
 	p.mu.Lock()
 	listed := p.listed
 	p.mu.Unlock()
@@ -204,10 +205,10 @@
 		}
 		return rate
 	}
-	built := &builtPaces{
+	built := &paceSnapshot{
 		snapshot: pace.NewSnapshot(p.table.Own(now), p.peers.Paces(now), serviceRate, now),
-		at:       now,
-		services: make(map[fleet.Service]serviceTold),
+		builtAt:  now,
+		services: make(map[fleet.Service]reportCounts),
 		listed:   listed,
 	}
 	built.snapshot.Each(func(server uint32, engine pace.Estimate) {
@@ -215,40 +216,41 @@
 		if backend == nil {
 			return
 		}
-		told := built.services[backend.Service]
-		told.servers++
+		counts := built.services[backend.Service]
+		counts.servers++
 		if engine.Contradicted {
-			told.contradicted++
+			counts.contradicted++
 		}
-		built.services[backend.Service] = told
+		built.services[backend.Service] = counts
 	})
 	return built
 }
 
-// serviceRate returns the prompt tokens that an engine at work time 1 reads in a second,
-// 0 while too little was seen.
+// serviceRate returns the prompt tokens per second that an engine with work time 1 reads, 0
+// as long as there are too few observations.
 func (p *paces) serviceRate(service fleet.Service) float64 {
 	rate, seconds := p.loads.observedRate(service)
-	if seconds < serviceSeconds {
+	if seconds < minReadingSeconds {
 		return 0
 	}
 	return rate
 }
 
-// list makes a backend server known that has answered before the list was taken.
-func (p *paces) list(backend *knowledge.Backend) {
+// addBackend adds a backend server that has answered before it was listed.
+func (p *paces) addBackend(backend *knowledge.Backend) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.listed[backend.IncarnationHash] != nil {
 		return
 	}
-	listed := maps.Clone(p.listed) // snapshots hold the former map
+	listed := maps.Clone(p.listed) // snapshots share the former map
 	listed[backend.IncarnationHash] = backend
 	p.listed = listed
 }
 
-// keep takes the list of backend servers and forgets those that are not on it.
-func (p *paces) keep(backends map[string]*knowledge.Backend) {
+// setBackends sets the list of backend servers and removes the observations of unlisted
+// ones.
+func (p *paces) setBackends(backends map[string]*knowledge.Backend) {
 	listed := make(map[uint32]*knowledge.Backend, len(backends))
 	hashes := make(map[uint32]bool, len(backends))
 	for _, backend := range backends {
@@ -258,5 +260,5 @@
 	p.mu.Lock()
 	p.listed = listed
 	p.mu.Unlock()
-	p.table.Keep(hashes)
+	p.table.Retain(hashes)
 }
--- a/internal/gate/place_model.go
+++ b/internal/gate/place_model.go
@@ -10,78 +10,79 @@
 	"github.com/bluebellchute/bluebellchute/internal/selection"
 )
 
-// modelSearch is the search for an engine for one request.
+// modelSearch holds the inputs of the search for an engine for one request.
 type modelSearch struct {
-	request    *Request
-	view       *knowledge.View
-	tier       policy.Tier
-	facts      policy.Facts
-	bounds     policy.Bounds
-	protection policy.Protection
-	demand     selection.Demand
-	limits     selection.Limits
-	ranking    ranking
-	part       string             // last shared part of the prompt, "" for none
-	keeper     *knowledge.Backend // known to keep the shared parts, nil for none
+	request      *Request
+	view         *knowledge.View
+	tier         policy.Tier
+	modelRequest policy.ModelRequest
+	bounds       policy.Bounds
+	protection   policy.Protection
+	demand       selection.Demand
+	limits       selection.Limits
+	ranking      ranking
+	segment      string             // last shared segment of the prompt, "" for none
+	cacheHolder  *knowledge.Backend // caches the shared segments, nil if unknown
 }
 
-// placeModel chooses an engine for a request for a model and counts the request
-// in there, or refuses it. again tells that an engine has declined it before.
-func (a *admission) placeModel(request *Request, view *knowledge.View, usable []*knowledge.Backend, again bool) (*placement, *Refusal) {
+// placeModel chooses an engine for a model request and adds the request to its load, or
+// returns a refusal. declinedBefore reports whether an engine has already declined the
+// request.
+func (a *admission) placeModel(request *Request, view *knowledge.View, usable []*knowledge.Backend, declinedBefore bool) (*placement, *Refusal) {
 	now := boottime.Now()
-	facts := a.facts(request, view, again, now)
-	tier := a.policy().Tier(facts, rand.Float64())
-	if !a.policy().Open(tier, facts.Standing) {
-		return nil, a.refuseModel(request, tier, Inputs{Tier: tier, Standing: facts.Standing.Got})
+	modelRequest := a.modelRequest(request, view, declinedBefore, now)
+	tier := a.policy().Tier(modelRequest, rand.Float64())
+	if !a.policy().TierOpen(tier, modelRequest.Usage) {
+		return nil, a.refuseModel(request, tier, Inputs{Tier: tier, ShareUsed: modelRequest.Usage.ShareUsed})
 	}
-	search := a.search(request, view, tier, facts, now)
+	search := a.search(request, view, tier, modelRequest, now)
 	backend, choice := a.choose(search, usable, now)
 	inputs := search.inputs(backend, choice)
 	switch {
 	case !choice.Fits:
 		return nil, a.refuseModel(request, tier, inputs)
 	case !search.protection.Allows(choice):
-		return nil, a.refuseInTurn(request, ReasonDisruptive, inputs)
+		return nil, a.refuseForCapacity(request, ReasonDisruptive, inputs)
 	}
 	placed := &placement{
 		backend: backend,
 		load: BackendLoad{
 			Running: 1,
-			Pending: choice.Tokens,
-			Memory:  search.demand.Own + search.demand.Shared + search.demand.Output,
+			Pending: choice.PromptTokens,
+			Memory:  search.demand.OwnTokens + search.demand.SharedTokens + search.demand.OutputTokens,
 		},
-		pending: choice.Before + choice.Tokens,
+		pending: choice.PendingTokens + choice.PromptTokens,
 		model:   true,
 		tier:    tier,
 		inputs:  inputs,
 	}
 	if a.canFetch(view, request.Service) {
-		placed.holder = a.holder(search, placed.backend, now)
+		placed.fetchSource = a.fetchSource(search, placed.backend, now)
 	}
-	a.enter(request, placed, now)
+	a.admit(request, placed, now)
 	return placed, nil
 }
 
-// search returns what the search for an engine goes by.
-func (a *admission) search(request *Request, view *knowledge.View, tier policy.Tier, facts policy.Facts, now boottime.Instant) *modelSearch {
-	bounds := a.policy().Bounds(tier, facts)
+// search returns the inputs of the search for an engine.
+func (a *admission) search(request *Request, view *knowledge.View, tier policy.Tier, modelRequest policy.ModelRequest, now boottime.Instant) *modelSearch {
+	bounds := a.policy().Bounds(tier, modelRequest)
 	search := &modelSearch{
-		request: request,
-		view:    view,
-		tier:    tier,
-		facts:   facts,
-		bounds:  bounds,
-		demand:  a.demand(request, bounds),
-		limits:  a.limits(view, request.Service, bounds),
-		part:    request.Prompt.SharedPart(),
+		request:      request,
+		view:         view,
+		tier:         tier,
+		modelRequest: modelRequest,
+		bounds:       bounds,
+		demand:       a.demand(request, bounds),
+		limits:       a.limits(view, request.Service, bounds),
+		segment:      request.Prompt.SharedSegment(),
 	}
-	search.keeper = a.keeper(search.part, view, now)
-	if !a.paces.told(request.Service) {
+	search.cacheHolder = a.cacheHolder(search.segment, view, now)
+	if !a.paces.hasReports(request.Service) {
 		return search
 	}
-	search.protection = a.policy().Protection(tier, view.Index.Gap(request.Service))
+	search.protection = a.policy().Protection(tier, view.Index.MinTargetGap(request.Service))
 	search.limits.Gap = search.protection.Gap
-	reading := selection.ReadingTime(search.demand.Own, search.limits.Rate)
+	reading := selection.ReadingTime(search.demand.OwnTokens, search.limits.Rate)
 	search.ranking = ranking{
 		weighted: true,
 		snapshot: a.paces.snapshot(),
@@ -91,112 +92,115 @@
 	return search
 }
 
-// choose returns the engine for the request among the usable ones, of which there must
-// be one, and what it finds there. One of the router's own availability zone comes first
-// for some requests, where it has as much room as any other.
+// choose returns an engine for the request among the usable ones, of which there must be at
+// least one, and the state found there. For some requests it prefers an engine of the
+// router's own availability zone that has as much room as the best one of all zones.
 func (a *admission) choose(search *modelSearch, usable []*knowledge.Backend, now boottime.Instant) (*knowledge.Backend, selection.Choice) {
-	hot := a.hot(search.part, now) // counts the request, wherever it is placed
-	// While some engines get no requests, the list is built for each one.
-	drawn := !sameList(usable, search.serving())
-	backend, choice := a.chooseAmong(search, usable, drawn, search.protection.Engines(search.bounds))
-	if backend.Zone == a.zone && choice.Good() {
+	frequent := a.recordDemand(search.segment, now) // counts the request, wherever it is placed
+	// While some engines get no requests, the list of usable ones is built for each
+	// request.
+	filtered := !sameList(usable, search.serving())
+	backend, choice := a.chooseAmong(search, usable, filtered, search.protection.MaxEngines(search.bounds))
+	if backend.Zone == a.zone && choice.FitsUndisrupted() {
 		return backend, choice
 	}
-	if near := a.near(search, usable, drawn, hot); len(near) > 0 {
-		if closer, found := a.chooseAmong(search, near, drawn, selection.Homes); preferNear(found, choice, search.request.Route.TargetLatency) {
-			return closer, found
+	if ownZone := a.ownZoneEngines(search, usable, filtered, frequent); len(ownZone) > 0 {
+		if ownZoneBackend, ownZoneChoice := a.chooseAmong(search, ownZone, filtered, selection.PreferredEngines); preferOwnZone(ownZoneChoice, choice, search.request.Route.TargetLatency) {
+			return ownZoneBackend, ownZoneChoice
 		}
 	}
 	return backend, choice
 }
 
-// chooseAmong chooses among the first engines of a list that is kept, or drawn from those
-// that serve.
-func (a *admission) chooseAmong(search *modelSearch, usable []*knowledge.Backend, drawn bool, most int) (*knowledge.Backend, selection.Choice) {
+// chooseAmong chooses among the first engines, at most limit, of the segment's order.
+// filtered reports whether usable was built from the serving engines for this request,
+// rather than being a list of the view.
+func (a *admission) chooseAmong(search *modelSearch, usable []*knowledge.Backend, filtered bool, limit int) (*knowledge.Backend, selection.Choice) {
 	var ranked []int
-	if drawn {
-		ranked = search.ranking.rankDrawn(usable, search.serving(), search.part, most)
+	if filtered {
+		ranked = search.ranking.rankFiltered(usable, search.serving(), search.segment, limit)
 	} else {
-		ranked = search.ranking.rank(usable, search.part, most)
+		ranked = search.ranking.rank(usable, search.segment, limit)
 	}
 	engine := a.engines(search, usable, ranked)
-	choice := selection.Model(len(ranked), engine, search.demand, search.limits)
+	choice := selection.ChooseEngine(len(ranked), engine, search.demand, search.limits)
 	return usable[ranked[choice.Place]], choice
 }
 
-// serving returns the engines of the service that get requests, as the view lists them.
+// serving returns the engines of the service that get requests, as listed by the view.
 func (s *modelSearch) serving() []*knowledge.Backend { return s.view.Serving[s.request.Service] }
 
-// inputs returns what decided on the place of the request.
+// inputs returns the values behind the decision, for the request log.
 func (s *modelSearch) inputs(backend *knowledge.Backend, choice selection.Choice) Inputs {
 	return Inputs{
-		Tier:     s.tier,
-		Backend:  backend.ID,
-		Standing: s.facts.Standing.Got,
-		Ahead:    choice.Ahead,
-		Budget:   s.demand.Budget,
-		Shared:   choice.Place == 0,
-		Prefill:  choice.Prefill,
-		Gap:      s.protection.Gap,
-		Disrupts: choice.Disrupts,
-		Moved:    choice.Moved,
+		Tier:      s.tier,
+		Backend:   backend.ID,
+		ShareUsed: s.modelRequest.Usage.ShareUsed,
+		Ahead:     choice.Ahead,
+		Budget:    s.demand.Budget,
+		Shared:    choice.Place == 0,
+		Prefill:   choice.Prefill,
+		Gap:       s.protection.Gap,
+		Disrupts:  choice.Disrupts,
+		Moved:     choice.Moved,
 	}
 }
 
-// facts returns what the tier and the bounds of a request rest on.
-func (a *admission) facts(request *Request, view *knowledge.View, again bool, now boottime.Instant) policy.Facts {
-	return policy.Facts{
-		Standing: a.standing(request, view.Index.Configuration.Limits.TokensPerSecond, now),
-		Target:   request.Route.TargetLatency,
-		Tightest: view.Index.Tightest(request.Service),
-		Rank:     view.Index.Rank(request.Service, request.Route, request.Account),
-		Headroom: a.loads.headroom(request.Service, a.leastHeadroom(request.Service)),
-		Again:    again,
+// modelRequest returns what the tier and the bounds of a request depend on.
+func (a *admission) modelRequest(request *Request, view *knowledge.View, declinedBefore bool, now boottime.Instant) policy.ModelRequest {
+	return policy.ModelRequest{
+		Usage:          a.accountUsage(request, view.Index.Configuration.Limits.TokensPerSecond, now),
+		Target:         request.Route.TargetLatency,
+		ShortestTarget: view.Index.MinTargetLatency(request.Service),
+		Rank:           view.Index.Rank(request.Service, request.Route, request.Account),
+		Headroom:       a.loads.headroom(request.Service, a.leastHeadroom(request.Service)),
+		DeclinedBefore: declinedBefore,
 	}
 }
 
-// leastHeadroom returns how far late answers lower the budgets of a service at most.
+// leastHeadroom returns the minimum to which late answers lower the headroom of a service.
 func (a *admission) leastHeadroom(service fleet.Service) float64 {
-	if a.paces.told(service) {
+	if a.paces.hasReports(service) {
 		return a.policy().HeadroomFloor()
 	}
 	return a.policy().LeastHeadroom
 }
 
-// standing returns how much of its share the request's account will have got.
-func (a *admission) standing(request *Request, capacity float64, now boottime.Instant) policy.Standing {
+// accountUsage returns how much of its share the request's account will have used with this
+// request.
+func (a *admission) accountUsage(request *Request, capacity float64, now boottime.Instant) policy.AccountUsage {
 	if request.Account == nil {
-		return policy.Standing{}
+		return policy.AccountUsage{}
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.ledger.Observe = a.policy().ObservedCapacity
-	return policy.Standing{
-		Got:      a.ledger.Standing(request.Account.Name, request.Prompt.Cost(), capacity, now),
-		Whole:    a.ledger.Whole(request.Account.Name, request.Prompt.Cost(), now),
-		Shortage: a.ledger.Shortage(),
+	a.ledger.ObserveCapacity = a.policy().ObservedCapacity
+	return policy.AccountUsage{
+		ShareUsed:     a.ledger.ShareUsed(request.Account.Name, request.Prompt.Cost(), capacity, now),
+		EvenShareUsed: a.ledger.EvenShareUsed(request.Account.Name, request.Prompt.Cost(), now),
+		Shortage:      a.ledger.Shortage(),
 	}
 }
 
-// refuseModel refuses a request that no engine takes within its bounds.
+// refuseModel refuses a request that no engine accepts within its bounds.
 func (a *admission) refuseModel(request *Request, tier policy.Tier, inputs Inputs) *Refusal {
 	reason := ReasonBusy
 	if tier == policy.TierIdle {
-		reason = ReasonShare
+		reason = ReasonOverShare
 	}
-	return a.refuseInTurn(request, reason, inputs)
+	return a.refuseForCapacity(request, reason, inputs)
 }
 
-// refuseInTurn refuses a request for want of room.
-func (a *admission) refuseInTurn(request *Request, reason Reason, inputs Inputs) *Refusal {
+// refuseForCapacity refuses a request for lack of capacity.
+func (a *admission) refuseForCapacity(request *Request, reason Reason, inputs Inputs) *Refusal {
 	refusal := a.refuse(request, reason)
-	refusal.RetryAfter = a.policy().RetryInTurn(request.Route.TargetLatency, inputs.Standing, rand.Float64())
+	refusal.RetryAfter = a.policy().RetryAfterByUsage(request.Route.TargetLatency, inputs.ShareUsed, rand.Float64())
 	refusal.Inputs = inputs
 	return refusal
 }
 
-// enter counts a placed request in.
-func (a *admission) enter(request *Request, placed *placement, now boottime.Instant) {
+// admit adds a placed request to the load of its engine and to the usage of its account.
+func (a *admission) admit(request *Request, placed *placement, now boottime.Instant) {
 	a.loads.begin(placed.backend.Incarnation, placed.load)
 	if request.Account == nil {
 		return
@@ -204,10 +208,10 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if placed.tier == policy.TierIdle {
-		a.ledger.GotIdle(request.Account.Name, request.Prompt.Cost(), now)
+		a.ledger.AddIdle(request.Account.Name, request.Prompt.Cost(), now)
 		return
 	}
-	a.ledger.Got(request.Account.Name, request.Prompt.Cost(), now)
+	a.ledger.AddGranted(request.Account.Name, request.Prompt.Cost(), now)
 }
 
 func (a *admission) demand(request *Request, bounds policy.Bounds) selection.Demand {
@@ -218,16 +222,16 @@
 		output = min(output, prompt.ExpectedOutput)
 	}
 	return selection.Demand{
-		Shared: shared,
-		Own:    max(float64(prompt.Tokens)-shared, 0),
-		Output: float64(output),
-		Budget: bounds.Budget,
-		Whole:  bounds.Whole,
+		SharedTokens:   shared,
+		OwnTokens:      max(float64(prompt.Tokens)-shared, 0),
+		OutputTokens:   float64(output),
+		Budget:         bounds.Budget,
+		CountOwnPrompt: bounds.CountOwnPrompt,
 	}
 }
 
-// engines returns a look at the candidates among the usable backend servers, by
-// their place in the order of the request's key.
+// engines returns a function that returns the state of a candidate, by its position in the
+// segment's order.
 func (a *admission) engines(search *modelSearch, usable []*knowledge.Backend, ranked []int) func(place int) selection.Engine {
 	capacity := 0.0
 	if settings := search.view.Index.Service(search.request.Service); settings != nil {
@@ -243,12 +247,12 @@
 			Pending:        load.Pending,
 			Memory:         load.Memory,
 			MemoryCapacity: capacity,
-			Keeps:          backend == search.keeper,
+			CachesShared:   backend == search.cacheHolder,
 		}
 		if search.ranking.weighted {
 			estimate := search.ranking.snapshot.Engine(backend.IncarnationHash)
 			engine.Rate, engine.Slowdown = estimate.Rate, estimate.Slowdown()
-			if engine.Rate == 0 { // too little has been read yet to know the service's rate
+			if engine.Rate == 0 { // too few observations to know the service's rate
 				engine.Rate = search.limits.Rate * estimate.Speed()
 			}
 		}
@@ -256,14 +260,14 @@
 	}
 }
 
-func idHash(backend *knowledge.Backend) uint64 { return backend.IDHash }
+func backendIDHash(backend *knowledge.Backend) uint64 { return backend.IDHash }
 
-// assumedRate is the prompt tokens that an engine reads in a second before
-// anything is known of it, when no capacity is stated either.
-const assumedRate = 20_000
+// defaultReadRate is how many prompt tokens per second an engine is assumed to read before
+// the first observation, if no capacity is configured either.
+const defaultReadRate = 20_000
 
 func (a *admission) limits(view *knowledge.View, service fleet.Service, bounds policy.Bounds) selection.Limits {
-	assumed := float64(assumedRate)
+	assumed := float64(defaultReadRate)
 	stated := view.Index.Configuration.Limits.TokensPerSecond
 	if count := len(view.ByService[service]); stated > 0 && count > 0 {
 		assumed = stated / float64(count)
@@ -271,13 +275,13 @@
 	return selection.Limits{
 		SecondPenalty: a.policy().SecondPenalty,
 		Rate:          a.loads.rate(service, assumed),
-		SlotShare:     bounds.Slots,
-		Fallbacks:     bounds.Engines,
-		MemoryShare:   bounds.Memory,
+		SlotShare:     bounds.SlotShare,
+		Fallbacks:     bounds.MaxEngines,
+		MemoryShare:   bounds.MemoryShare,
 	}
 }
 
-// canFetch tells whether engines of the service fetch prompt parts from each
+// canFetch reports whether engines of the service can fetch prompt segments from each
 // other.
 func (a *admission) canFetch(view *knowledge.View, service fleet.Service) bool {
 	settings := view.Index.Service(service)
--- a/internal/gate/plain.go
+++ b/internal/gate/plain.go
@@ -12,41 +12,41 @@
 	"github.com/bluebellchute/bluebellchute/internal/policy"
 )
 
-// PlainSettings bound what is sent to plain services.
+// PlainSettings are the settings of plain services.
 type PlainSettings struct {
-	// Admission tells to refuse what would wait too long. Every request is sent
-	// without it.
+	// Admission refuses requests that would wait too long. Without it, every request is
+	// sent.
 	Admission bool
 }
 
-// plainState is what a router has learned of one plain server.
+// plainState is what a router has learned about one plain server.
 type plainState struct {
-	load     policy.PlainLoad
-	work     policy.ServiceTime
-	lastUsed boottime.Instant
+	load        policy.PlainLoad
+	serviceTime policy.ServiceTime
+	lastUsed    boottime.Instant
 }
 
-// plainServers is the table of plain servers by their incarnations. Its methods may
-// be called concurrently.
+// plainServers is the table of plain servers by incarnation. Its methods may be called
+// concurrently.
 type plainServers struct {
 	mu     sync.Mutex
 	states map[string]*plainState
-	// waits takes the wait that was expected at a decision.
-	waits func(service fleet.Service, wait time.Duration)
+	// observeWait is called with the expected wait of each decision.
+	observeWait func(service fleet.Service, wait time.Duration)
 }
 
 func newPlainServers() *plainServers {
-	return &plainServers{states: make(map[string]*plainState), waits: func(fleet.Service, time.Duration) {}}
+	return &plainServers{states: make(map[string]*plainState), observeWait: func(fleet.Service, time.Duration) {}}
 }
 
-// plainPlace is the place of a request at a plain server under admission control.
-type plainPlace struct {
+// plainPlacement is the placement of a request at a plain server under admission control.
+type plainPlacement struct {
 	state    *plainState
-	sent     policy.PlainSent
-	answered bool // the server's own answer has come, and is no failure
+	sent     policy.SentPlainRequest
+	answered bool // the server itself has answered, without a failure
 }
 
-// state returns what was learned of an incarnation.
+// state returns what was learned about an incarnation.
 func (p *plainServers) state(incarnation string, now boottime.Instant) *plainState {
 	state := p.states[incarnation]
 	if state == nil {
@@ -57,115 +57,118 @@
 	return state
 }
 
-// assumedWork is the service time before any server of a service has answered.
-const assumedWork = 10 * time.Millisecond
+// defaultServiceTime is the assumed service time before any server of a service has
+// answered.
+const defaultServiceTime = 10 * time.Millisecond
 
 // mean returns the mean service time of the backend servers that have answered.
 func (p *plainServers) mean(usable []*knowledge.Backend) time.Duration {
 	var sum, known time.Duration
 	for _, backend := range usable {
-		if state := p.states[backend.Incarnation]; state != nil && state.work.Learned() > 0 {
-			sum += state.work.Learned()
+		if state := p.states[backend.Incarnation]; state != nil && state.serviceTime.Learned() > 0 {
+			sum += state.serviceTime.Learned()
 			known++
 		}
 	}
 	if known == 0 {
-		return assumedWork
+		return defaultServiceTime
 	}
 	return sum / known
 }
 
-// placeBounded chooses a plain server for the request and counts it in there, or
-// refuses it. The choice and the count are one step, so that requests which come
-// together do not all take the same free slot.
+// placeBounded chooses a plain server for the request and adds the request to its load, or
+// returns a refusal. Both happen under one lock, so that concurrent requests do not all
+// take the same free slot.
 func (a *admission) placeBounded(request *Request, view *knowledge.View, usable []*knowledge.Backend) (*placement, *Refusal) {
 	a.plain.mu.Lock()
 	defer a.plain.mu.Unlock()
-	now := boottime.Now() // under the lock, so that moments follow each other
-	servers, heard := a.lookPlain(usable, now)
-	choice := a.policy().Plain(policy.PlainRequest{
+	now := boottime.Now() // read under the lock, so that times increase from call to call
+	servers, running := a.plainCandidates(usable, now)
+	choice := a.policy().ChoosePlain(policy.PlainRequest{
 		Target:     request.Route.TargetLatency,
-		Left:       request.Left(now),
+		Remaining:  request.Remaining(now),
 		Idempotent: request.Idempotent(),
 		Rank:       view.Index.Rank(request.Service, request.Route, request.Account),
-		Draw:       rand.Float64(),
+		Jitter:     rand.Float64(),
 		Offset:     rand.IntN(len(servers)),
 	}, servers)
-	a.plain.waits(request.Service, choice.Wait)
+	a.plain.observeWait(request.Service, choice.Wait)
 	backend := usable[choice.Server]
 	inputs := Inputs{Backend: backend.ID, Wait: choice.Wait, Budget: choice.Budget, Plain: true}
 	if !choice.Fits {
 		return nil, &Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonBusy, RetryAfter: choice.RetryAfter, Inputs: inputs}
 	}
-	place := &plainPlace{state: a.plain.state(backend.Incarnation, now)}
-	place.sent = policy.PlainSent{At: now, Rounds: policy.PlainRounds(heard[choice.Server], backend.Slots)}
-	place.state.work.Begin(&place.sent)
+	place := &plainPlacement{state: a.plain.state(backend.Incarnation, now)}
+	place.sent = policy.SentPlainRequest{At: now, Rounds: policy.PlainRounds(running[choice.Server], backend.Slots)}
+	place.state.serviceTime.Begin(&place.sent)
 	placed := &placement{backend: backend, load: BackendLoad{Running: 1}, plain: place, inputs: inputs}
 	a.loads.begin(backend.Incarnation, placed.load)
 	return placed, nil
 }
 
-// lookPlain returns the usable backend servers as candidates, and how many requests
-// each has as far as this router has heard. What is expected there is no measure of
-// how long an answer waited: requests are sent when little is expected.
-func (a *admission) lookPlain(usable []*knowledge.Backend, now boottime.Instant) ([]policy.PlainServer, []int) {
-	servers, heard := make([]policy.PlainServer, len(usable)), make([]int, len(usable))
+// plainCandidates returns the usable backend servers as candidates, and the requests
+// running at each as far as this router knows. The wait of an answer is derived from these
+// counts and not from the expected number of requests, which would be biased: requests are
+// sent when it is small.
+func (a *admission) plainCandidates(usable []*knowledge.Backend, now boottime.Instant) ([]policy.PlainServer, []int) {
+	servers, running := make([]policy.PlainServer, len(usable)), make([]int, len(usable))
 	mean, dither, routers := a.plain.mean(usable), rand.Float64(), a.peers.Routers()
 	paces := a.paces.snapshot()
 	for i, backend := range usable {
 		state := a.plain.state(backend.Incarnation, now)
 		own, _ := a.loads.get(backend.Incarnation)
 		others := a.peers.Load(backend.IncarnationHash).Running
-		heard[i] = own.Running + others
-		seen := policy.PlainSeen{Own: own.Running, Others: others, Slots: backend.Slots, Routers: routers}
+		running[i] = own.Running + others
+		counts := policy.PlainCounts{Own: own.Running, Others: others, Slots: backend.Slots, Routers: routers}
 		servers[i] = policy.PlainServer{
-			Running: state.load.Expect(seen, dither, now),
-			Slots:   backend.Slots,
-			Near:    backend.Zone == a.zone,
-			Service: state.work.At(now, mean),
-			Pace:    paces.Engine(backend.IncarnationHash).Slowdown(),
+			Running:     state.load.Estimate(counts, dither, now),
+			Slots:       backend.Slots,
+			SameZone:    backend.Zone == a.zone,
+			ServiceTime: state.serviceTime.At(now, mean),
+			Slowdown:    paces.Engine(backend.IncarnationHash).Slowdown(),
 		}
 	}
-	return servers, heard
+	return servers, running
 }
 
-// plainAnswered notes an answer that is no failure of the server. took is the time
-// since the request was sent, and valid tells that the answer is a whole success.
-func (a *admission) plainAnswered(placed *placement, valid bool, took time.Duration) {
+// recordPlainAnswer records an answer that is no failure of the server. took is the time
+// since the request was sent, and success reports whether it is a complete success.
+func (a *admission) recordPlainAnswer(placed *placement, success bool, took time.Duration) {
 	if placed.plain == nil {
 		return
 	}
 	a.plain.mu.Lock()
 	defer a.plain.mu.Unlock()
 	placed.plain.answered = true
-	if valid {
-		placed.plain.state.work.Note(&placed.plain.sent, took)
+	if success {
+		placed.plain.state.serviceTime.Observe(&placed.plain.sent, took)
 	}
 }
 
-// failedCountMost bounds how long a failed request counts at its server. breakWatch takes
-// requests reported in breakRecent for a sign of life, so those that a crash has ended must
-// not be reported then.
-const failedCountMost = breakSilence - breakRecent
+// maxFailedHold bounds how long a failed request stays in the load of its server. The crash
+// detector takes requests that routers report within reportWindow as evidence that the
+// server runs, so requests that a crash has ended must not be reported by then.
+const maxFailedHold = silenceTimeout - reportWindow
 
-// leavePlain counts a request out at its plain server. One that ran and failed sooner
-// than its answer was due counts until then, here and at the other routers.
-func (a *admission) leavePlain(placed *placement, ran bool) {
+// releasePlain subtracts a request from the load of its plain server. One that ran and
+// failed before its answer was due counts until then, at this router and at the others.
+// Otherwise a server that fails quickly would seem to have free slots.
+func (a *admission) releasePlain(placed *placement, ran bool) {
 	place, now := placed.plain, boottime.Now()
 	a.plain.mu.Lock()
-	place.state.work.End(&place.sent)
-	rest := place.state.work.Rest(&place.sent, now)
+	place.state.serviceTime.End(&place.sent)
+	remaining := place.state.serviceTime.RemainingTime(&place.sent, now)
 	a.plain.mu.Unlock()
-	leave := func() { a.loads.end(placed.backend.Incarnation, placed.load) }
-	if !ran || place.answered || rest == 0 {
-		leave()
+	release := func() { a.loads.end(placed.backend.Incarnation, placed.load) }
+	if !ran || place.answered || remaining == 0 {
+		release()
 		return
 	}
-	time.AfterFunc(min(rest, failedCountMost), leave)
+	time.AfterFunc(min(remaining, maxFailedHold), release)
 }
 
-// keep forgets plain servers that are no longer listed.
-func (p *plainServers) keep(backends map[string]*knowledge.Backend, now boottime.Instant) {
+// prune removes plain servers that are no longer listed.
+func (p *plainServers) prune(backends map[string]*knowledge.Backend, now boottime.Instant) {
 	listed := make(map[string]bool, len(backends))
 	for _, backend := range backends {
 		listed[backend.Incarnation] = true
@@ -173,7 +176,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for incarnation, state := range p.states {
-		if !listed[incarnation] && now.Sub(state.lastUsed) > loadLife {
+		if !listed[incarnation] && now.Sub(state.lastUsed) > unusedStateTTL {
 			delete(p.states, incarnation)
 		}
 	}
--- a/internal/gate/plain_test.go
+++ b/internal/gate/plain_test.go
@@ -19,7 +19,7 @@
 	"github.com/bluebellchute/bluebellchute/internal/policy"
 )
 
-// plainGate is a gate before one plain server with two slots.
+// plainGate returns a router with one plain server that has two slots.
 func plainGate(t *testing.T, plain PlainSettings, serve http.HandlerFunc) *Manager {
 	t.Helper()
 	server := httptest.NewServer(serve)
@@ -36,7 +36,7 @@
 	logger.SetOutput(io.Discard)
 	return NewManager(Options{
 		Settings: Settings{
-			Freshness: Freshness{Keyed: 4 * time.Second, Final: 2 * time.Second},
+			Freshness: Freshness{KeyMaxAge: 4 * time.Second, DenialMaxAge: 2 * time.Second},
 			Admission: policy.Defaults(), Plain: plain, BodyMemory: 1 << 20,
 		},
 		Dialect: plainDialect{}, State: state, Peers: noPeers{}, Logger: logger,
@@ -51,7 +51,7 @@
 	return recorder.Result()
 }
 
-// askMany asks so many times at once and returns the answers by their status.
+// askMany sends this number of concurrent requests and returns the answers by status.
 func askMany(m *Manager, count int) map[int][]*http.Response {
 	answers := make(chan *http.Response)
 	for range count {
@@ -65,9 +65,9 @@
 	return byStatus
 }
 
-// Guards against a crowded server getting everything, and against a refusal of a
-// request that was sent, or without a time to come back.
-func TestCrowdedPlainServerRefuses(t *testing.T) {
+// Guards against sending everything to an overloaded server, against refusing a request
+// that was sent, and against refusals without Retry-After.
+func TestOverloadedPlainServerRefuses(t *testing.T) {
 	for _, admission := range []bool{false, true} {
 		var arrived atomic.Int32
 		slots := make(chan struct{}, 2)
@@ -97,14 +97,14 @@
 			}
 		}
 		if left := m.Loads(); len(left) != 0 {
-			t.Errorf("%v are left", left)
+			t.Errorf("load left over: %v", left)
 		}
 	}
 }
 
-// Guards against a server that answers errors at once seeming to have free slots,
-// and against its failed requests being counted for good.
-func TestFailedPlainRequestsCountForAWhile(t *testing.T) {
+// Guards against a server that fails immediately seeming to have free slots, and against
+// its failed requests being counted permanently.
+func TestFailedPlainRequestsCountForATime(t *testing.T) {
 	var failing atomic.Bool
 	m := plainGate(t, PlainSettings{Admission: true}, func(w http.ResponseWriter, _ *http.Request) {
 		if failing.Load() {
@@ -117,57 +117,58 @@
 	failing.Store(true)
 	askPlain(m)
 	if got := m.running(); got != 1 {
-		t.Errorf("%d are counted after a failure at once", got)
+		t.Errorf("%d requests in the load after an immediate failure, want 1", got)
 	}
 	deadline := time.Now().Add(5 * time.Second)
 	for m.running() != 0 {
 		if time.Now().After(deadline) {
-			t.Fatal("the failed request is counted for good")
+			t.Fatal("the failed request is counted permanently")
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// Guards against the switch not reaching the decision, or being on by default.
-func TestPlainSettingsAreTaken(t *testing.T) {
+// Guards against a setting that has no effect or is on by default.
+func TestPlainSettingsAreApplied(t *testing.T) {
 	config := Config{}
 	if config.Settings().Plain.Admission {
 		t.Error("admission control is on by default")
 	}
 	config.Plain.Admission = true
 	if !config.Settings().Plain.Admission {
-		t.Error("the switch is not taken")
+		t.Error("the setting has no effect")
 	}
 }
 
-// Guards against requests that a crash has ended, and that still count at their server,
-// being taken for a sign that it lives: the request that crashed it would never be refused.
+// Guards against failed requests that a crash has ended but that still count at their
+// server. Taken as evidence that the server runs, they would prevent the refusal of the
+// request that crashed it.
 func TestFailedPlainRequestsDoNotHideACrash(t *testing.T) {
 	m := plainGate(t, PlainSettings{Admission: true}, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	for _, backend := range m.handler.state.View().Backends {
 		state := m.handler.admission.plain.state(backend.Incarnation, boottime.Now())
-		state.work.Note(&policy.PlainSent{Rounds: 1}, 10*time.Second)
+		state.serviceTime.Observe(&policy.SentPlainRequest{Rounds: 1}, 10*time.Second)
 	}
 	askPlain(m)
-	var told []uint64
-	for ends := time.Now().Add(breakDoubt + time.Second); len(told) == 0 && time.Now().Before(ends); {
+	var suspects []uint64
+	for ends := time.Now().Add(reportedSilenceTimeout + time.Second); len(suspects) == 0 && time.Now().Before(ends); {
 		time.Sleep(judgeInterval)
-		m.handler.judge(boottime.Now())
-		told = m.TakeBroken()
+		m.handler.judgeDue(boottime.Now())
+		suspects = m.TakeCrashFingerprints()
 	}
-	if len(told) != 1 {
-		t.Errorf("%d requests were found to have crashed the server, want 1", len(told))
+	if len(suspects) != 1 {
+		t.Errorf("%d requests were found to have crashed the server, want 1", len(suspects))
 	}
 }
 
-// Guards against a request with a withdrawn key being sent because it was held back, for
-// the sake of pending breaks, when the key was withdrawn.
+// Guards against sending a request whose key was withdrawn while the request was held back
+// because of undecided crashes.
 func TestHeldRequestLosesItsWithdrawnKey(t *testing.T) {
 	var arrived atomic.Int32
 	m := plainGate(t, PlainSettings{}, func(http.ResponseWriter, *http.Request) { arrived.Add(1) })
 	configure := func(version uint64, keys ...string) {
 		m.handler.state.SetConfiguration(&knowledge.Configuration{
-			Version: version, Keyed: true,
+			Version: version, KeysRequired: true,
 			Routes: []knowledge.Route{{
 				Name: "commit", PathPrefix: "/", Host: "h", Repeat: knowledge.RepeatNever, Timeout: 3 * time.Second,
 				Destinations: []knowledge.Destination{{Service: "s", Weight: 1}},
@@ -185,12 +186,12 @@
 			t.Fatal(refusal)
 		}
 		for _, incarnation := range []string{"a@1", "b@1"} {
-			m.handler.breaks.broke(incarnation, request.Fingerprint, request.Received, boottime.Now())
+			m.handler.crashDetector.addReset(incarnation, request.Fingerprint, request.Received, boottime.Now())
 		}
-		time.AfterFunc(holdMost/2, func() {
+		time.AfterFunc(maxHold/2, func() {
 			configure(m.handler.state.View().Version()+1, test.after)
-			m.handler.breaks.alive("a@1", boottime.Now(), boottime.Now())
-			m.handler.breaks.alive("b@1", boottime.Now(), boottime.Now())
+			m.handler.crashDetector.dataReceived("a@1", boottime.Now(), boottime.Now())
+			m.handler.crashDetector.dataReceived("b@1", boottime.Now(), boottime.Now())
 		})
 		recorder := httptest.NewRecorder()
 		m.handler.serve(t.Context(), recorder, request)
--- a/internal/gate/records.go
+++ b/internal/gate/records.go
@@ -17,46 +17,47 @@
 )
 
 const (
-	// failuresPerSecond and failuresBurst bound the records of requests that
-	// did not go well, as they cost small VMs a good part of their processor.
+	// failuresPerSecond and failuresBurst bound the log entries on requests that failed, as
+	// entries cost small VMs much of their processor time.
 	failuresPerSecond = 20
 	failuresBurst     = 100
-	// answersPerSecond and answersBurst bound the records of requests that
-	// went well, which are a sample.
+	// answersPerSecond and answersBurst bound the log entries on requests that succeeded,
+	// which are a sample.
 	answersPerSecond = 2
 	answersBurst     = 10
-	// leftOutInterval is the pause between two records of what was left out.
-	leftOutInterval = 5 * time.Second
-	// tallyInterval is the pause between two records of counts.
+	// droppedInterval is the interval at which the number of dropped entries is logged.
+	droppedInterval = 5 * time.Second
+	// tallyInterval is the interval at which request counts are logged.
 	tallyInterval = time.Second
 )
 
-// records writes what was decided on requests, within bounds.
-type records struct {
-	logger   logrus.FieldLogger
-	state    *knowledge.State
-	failures *rate.Limiter
-	answers  *rate.Limiter
-	leftOut  atomic.Int64
-	tally    *tally
-	// inputs returns what the decisions of the moment rest on.
+// requestLog logs the decisions on requests, at a bounded rate.
+type requestLog struct {
+	logger       logrus.FieldLogger
+	state        *knowledge.State
+	failureLimit *rate.Limiter
+	answerLimit  *rate.Limiter
+	dropped      atomic.Int64
+	counts       *requestCounts
+	// inputs returns the current inputs of placement decisions.
 	inputs func() logrus.Fields
 }
 
-func newRecords(logger logrus.FieldLogger, state *knowledge.State, inputs func() logrus.Fields) *records {
-	return &records{
-		tally:    newTally(),
-		inputs:   inputs,
-		logger:   logger,
-		state:    state,
-		failures: rate.NewLimiter(failuresPerSecond, failuresBurst),
-		answers:  rate.NewLimiter(answersPerSecond, answersBurst),
+func newRequestLog(logger logrus.FieldLogger, state *knowledge.State, inputs func() logrus.Fields) *requestLog {
+	return &requestLog{
+		counts:       newRequestCounts(),
+		inputs:       inputs,
+		logger:       logger,
+		state:        state,
+		failureLimit: rate.NewLimiter(failuresPerSecond, failuresBurst),
+		answerLimit:  rate.NewLimiter(answersPerSecond, answersBurst),
 	}
 }
 
-// Run writes from time to time how many records were left out.
-func (r *records) Run(ctx context.Context) error {
-	ticker := time.NewTicker(leftOutInterval)
+// Run periodically logs the request counts and the number of dropped entries until the
+// context ends.
+func (r *requestLog) Run(ctx context.Context) error {
+	ticker := time.NewTicker(droppedInterval)
 	defer ticker.Stop()
 	tallies := time.NewTicker(tallyInterval)
 	defer tallies.Stop()
@@ -65,33 +66,33 @@
 		case <-ctx.Done():
 			return nil
 		case <-tallies.C:
-			r.tally.write(r.logger, r.inputs())
+			r.counts.write(r.logger, r.inputs())
 		case <-ticker.C:
-			if count := r.leftOut.Swap(0); count > 0 {
-				event.GateLeftOut.Log(r.logger, logrus.Fields{"count": count})
+			if count := r.dropped.Swap(0); count > 0 {
+				event.GateRecordsSuppressed.Log(r.logger, logrus.Fields{"count": count})
 			}
 		}
 	}
 }
 
-// allows tells whether a record is written, and counts it when it is left out.
-func (r *records) allows(limiter *rate.Limiter) bool {
+// allows reports whether an entry may be written, and counts it as dropped if not.
+func (r *requestLog) allows(limiter *rate.Limiter) bool {
 	if limiter.Allow() {
 		return true
 	}
-	r.leftOut.Add(1)
+	r.dropped.Add(1)
 	return false
 }
 
-// write writes a record that the limiter allows.
-func (r *records) write(limiter *rate.Limiter, which event.Event, request *Request, fields logrus.Fields) {
+// write writes an entry if the limiter allows it.
+func (r *requestLog) write(limiter *rate.Limiter, which event.Event, request *Request, fields logrus.Fields) {
 	if r.allows(limiter) {
-		r.put(which, request, fields)
+		r.writeFields(which, request, fields)
 	}
 }
 
-// put writes a record.
-func (r *records) put(which event.Event, request *Request, fields logrus.Fields) {
+// writeFields writes an entry.
+func (r *requestLog) writeFields(which event.Event, request *Request, fields logrus.Fields) {
 	if request != nil {
 		fields["request"] = request.ID
 		fields["service"] = request.Service
@@ -105,14 +106,14 @@
 	}
 	view := r.state.View()
 	fields["config_version"] = view.Version()
-	fields["config_age_ms"] = boottime.Now().Sub(view.Configured).Milliseconds()
+	fields["config_age_ms"] = boottime.Now().Sub(view.ConfigurationConfirmedAt).Milliseconds()
 	which.Log(r.logger, fields)
 }
 
-func (r *records) refused(request *Request, refusal Refusal) {
-	r.tally.refused(request, refusal.Reason)
-	if !r.allows(r.failures) {
-		return // a flood of refusals builds no records that are then left out
+func (r *requestLog) refused(request *Request, refusal Refusal) {
+	r.counts.addRefusal(request, refusal.Reason)
+	if !r.allows(r.failureLimit) {
+		return // avoids building entries that are dropped in a flood of refusals
 	}
 	fields := logrus.Fields{
 		"reason":         refusal.Reason,
@@ -120,16 +121,16 @@
 		"retry_after_ms": refusal.RetryAfter.Milliseconds(),
 	}
 	addInputs(fields, refusal.Inputs)
-	r.put(event.GateRefused, request, fields)
+	r.writeFields(event.GateRefused, request, fields)
 }
 
-// addInputs adds what decided on the place of a request.
+// addInputs adds the inputs of a request's placement.
 func addInputs(fields logrus.Fields, inputs Inputs) {
 	if inputs.Tier != policy.TierOwed {
 		fields["tier"] = inputs.Tier
 	}
-	if inputs.Standing > 0 {
-		fields["standing"] = math.Round(inputs.Standing*100) / 100
+	if inputs.ShareUsed > 0 {
+		fields["standing"] = math.Round(inputs.ShareUsed*100) / 100
 	}
 	if inputs.Plain {
 		fields["backend"] = inputs.Backend
@@ -150,81 +151,84 @@
 	}
 }
 
-func (r *records) declined(request *Request, backend *knowledge.Backend, status int, replaced bool) {
-	r.write(r.failures, event.GateDeclined, request, logrus.Fields{
+func (r *requestLog) declined(request *Request, backend *knowledge.Backend, status int, replaced bool) {
+	r.write(r.failureLimit, event.GateDeclined, request, logrus.Fields{
 		"backend":  backend.ID,
 		"status":   status,
 		"replaced": replaced,
 	})
 }
 
-// leaves writes that a backend server has said for the first time that it leaves.
-func (r *records) leaves(backend *knowledge.Backend) {
-	event.GateLeaves.Log(r.logger, logrus.Fields{"backend": backend.ID})
+// backendDraining logs that a backend server has reported for the first time that it
+// drains.
+func (r *requestLog) backendDraining(backend *knowledge.Backend) {
+	event.GateBackendDraining.Log(r.logger, logrus.Fields{"backend": backend.ID})
 }
 
-// closes writes that a backend server that was open wants nothing for the time.
-func (r *records) closes(backend *knowledge.Backend, lasts time.Duration) {
-	event.GateCloses.Log(r.logger, logrus.Fields{"backend": backend.ID, "for_ms": lasts.Milliseconds()})
+// backendRejecting logs that a backend server has started to reject new requests, and for
+// how long.
+func (r *requestLog) backendRejecting(backend *knowledge.Backend, lasts time.Duration) {
+	event.GateBackendUnavailable.Log(r.logger, logrus.Fields{"backend": backend.ID, "for_ms": lasts.Milliseconds()})
 }
 
-func (r *records) sendFailed(request *Request, backend *knowledge.Backend, err error) {
-	r.write(r.failures, event.GateSendFailed, request, logrus.Fields{"backend": backend.ID, "error": err.Error()})
+func (r *requestLog) sendFailed(request *Request, backend *knowledge.Backend, err error) {
+	r.write(r.failureLimit, event.GateSendFailed, request, logrus.Fields{"backend": backend.ID, "error": err.Error()})
 }
 
-// judged writes what broken connections at a backend server were found to mean.
-func (r *records) judged(judged judgedBreaks) {
-	r.write(r.failures, event.GateBreaksJudged, nil, logrus.Fields{
+// resetsJudged logs the verdict on reset connections at a backend server.
+func (r *requestLog) resetsJudged(judged judgedResets) {
+	r.write(r.failureLimit, event.GateDisconnectsClassified, nil, logrus.Fields{
 		"incarnation": judged.incarnation,
 		"verdict":     judged.verdict,
-		"count":       len(judged.prints),
+		"count":       len(judged.fingerprints),
 	})
 }
 
-func (r *records) badAnswer(request *Request, backend *knowledge.Backend, status int) {
-	r.write(r.failures, event.GateBadAnswer, request, logrus.Fields{"backend": backend.ID, "status": status})
+func (r *requestLog) badAnswer(request *Request, backend *knowledge.Backend, status int) {
+	r.write(r.failureLimit, event.GateBadAnswer, request, logrus.Fields{"backend": backend.ID, "status": status})
 }
 
-func (r *records) failed(request *Request, backend *knowledge.Backend, status int) {
-	r.write(r.failures, event.GateFailed, request, logrus.Fields{"backend": backend.ID, "status": status})
+func (r *requestLog) failed(request *Request, backend *knowledge.Backend, status int) {
+	r.write(r.failureLimit, event.GateBackendFailed, request, logrus.Fields{"backend": backend.ID, "status": status})
 }
 
-// brokeOff writes that a stream ends early, by the backend server or the end of draining.
-func (r *records) brokeOff(request *Request, sends int, drained bool) {
-	r.tally.answered(request, false, false)
-	r.write(r.failures, event.GateBrokeOff, request, logrus.Fields{"sends": sends, "drained": drained})
+// streamAborted logs that a stream ends early, because of the backend server or the end of
+// draining.
+func (r *requestLog) streamAborted(request *Request, sends int, drained bool) {
+	r.counts.addAnswer(request, false, false)
+	r.write(r.failureLimit, event.GateStreamAborted, request, logrus.Fields{"sends": sends, "drained": drained})
 }
 
-func (r *records) callerGone(request *Request) {
-	r.tally.ended(request, func(route *RouteTally) { route.Left++ })
-	r.write(r.answers, event.GateCallerGone, request, logrus.Fields{})
+func (r *requestLog) callerDisconnected(request *Request) {
+	r.counts.addEnd(request, func(route *RouteCounts) { route.Disconnected++ })
+	r.write(r.answerLimit, event.GateCallerDisconnected, request, logrus.Fields{})
 }
 
-// takenDraining writes that a request is taken so long after the signal to stop, on a
-// connection that is nil if unknown.
-func (r *records) takenDraining(request *Request, since time.Duration, conn *callerConn) {
-	if !r.allows(r.failures) {
+// acceptedDraining logs a request that is accepted after the listener was closed, with the
+// time since the stop signal. conn is nil if unknown.
+func (r *requestLog) acceptedDraining(request *Request, since time.Duration, conn *callerConn) {
+	if !r.allows(r.failureLimit) {
 		return
 	}
 	now := boottime.Now()
-	fields := logrus.Fields{"since_stop_ms": since.Milliseconds(), "left_ms": request.Left(now).Milliseconds()}
+	fields := logrus.Fields{"since_stop_ms": since.Milliseconds(), "left_ms": request.Remaining(now).Milliseconds()}
 	if conn != nil {
 		fields["connection_age_ms"] = now.Sub(conn.opened).Milliseconds()
 		fields["connection_requests"] = conn.requests.Load()
 	}
-	r.put(event.GateDrainTaken, request, fields)
+	r.writeFields(event.GateAdmittedWhileDraining, request, fields)
 }
 
-// endedDraining writes that so many requests were ended as they were in progress at the end.
-func (r *records) endedDraining(count int) {
-	event.GateDrainEnded.Log(r.logger, logrus.Fields{"count": count})
+// endedDraining logs how many requests were still in progress when draining ended.
+func (r *requestLog) endedDraining(count int) {
+	event.GateAbortedByDrain.Log(r.logger, logrus.Fields{"count": count})
 }
 
-func (r *records) answered(request *Request, placed *placement, status, sends int, late bool, err error) {
-	r.tally.answered(request, status < http.StatusMultipleChoices && err == nil, late)
-	limiter := r.answers
+func (r *requestLog) answered(request *Request, placed *placement, status, sends int, late bool, err error) {
+	r.counts.addAnswer(request, status < http.StatusMultipleChoices && err == nil, late)
+	limiter := r.answerLimit
 	if status >= http.StatusInternalServerError || sends > 1 {
-		limiter = r.failures
+		limiter = r.failureLimit
 	}
 	if !r.allows(limiter) {
 		return
@@ -235,5 +239,5 @@
 	if err != nil {
 		fields["error"] = err.Error()
 	}
-	r.put(event.GateAnswered, request, fields)
+	r.writeFields(event.GateAnswered, request, fields)
 }
--- a/internal/gate/relay_stream.go
+++ b/internal/gate/relay_stream.go
@@ -15,55 +15,55 @@
 	"github.com/bluebellchute/bluebellchute/internal/fleet"
 )
 
-// streamState is what the caller has of a stream.
+// streamState is what the caller has received of a stream.
 type streamState struct {
-	started   bool
-	lastEvent string // id of the last event handed out, "" for none
+	started     bool
+	lastEventID string // id of the last event forwarded, "" for none
 }
 
 const (
-	// streamBuffer is how much of a stream is read at once.
-	streamBuffer = 8 << 10
-	// eventMost bounds one event of a stream.
-	eventMost = 1 << 20
+	// streamBufferBytes is the size of the buffer into which a stream is read.
+	streamBufferBytes = 8 << 10
+	// maxEventBytes bounds the size of one event of a stream.
+	maxEventBytes = 1 << 20
 )
 
-// errEventTooLong ends a stream whose event would not fit into memory.
+// errEventTooLong ends a stream with an event larger than maxEventBytes.
 var errEventTooLong = errors.New("an event of the stream is too long")
 
-// relayStream hands on a stream event by event. Only whole events are handed
-// on: one that breaks off can then be made again by another backend server.
-func (r *run) relayStream(ctx context.Context, placed *placement, answer *backendconn.Answer, reply Reply, sent boottime.Instant) verdict {
+// relayStream forwards a stream event by event. It forwards complete events only, so that
+// another backend server can repeat an event that breaks off.
+func (r *relay) relayStream(ctx context.Context, placed *placement, answer *backendconn.Answer, reply Reply, sent boottime.Instant) sendOutcome {
 	h := r.handler
-	if !reply.sound(r.request) {
-		h.records.badAnswer(r.request, placed.backend, answer.Status)
-		h.admission.loads.answered(placed.backend.Incarnation, false, 0)
-		return verdictBroken
+	if !reply.genuine(r.request) {
+		h.requestLog.badAnswer(r.request, placed.backend, answer.Status)
+		h.admission.loads.recordAnswer(placed.backend.Incarnation, false, 0)
+		return outcomeBroken
 	}
-	buffer := make([]byte, streamBuffer)
+	buffer := make([]byte, streamBufferBytes)
 	var partial []byte
-	pace := newStreamPace(r.request)
+	pace := newStreamTiming(r.request)
 	for {
 		n, err := answer.Read(buffer)
 		if n > 0 {
 			now := boottime.Now()
-			h.heard(placed.backend, sent, now)
-			if pace.note(now) {
-				h.admission.began(r.request, placed, now.Sub(sent))
+			h.dataReceived(placed.backend, sent, now)
+			if pace.recordEvent(now) {
+				h.admission.recordFirstEvent(r.request, placed, now.Sub(sent))
 				h.metrics.firstEvent(now.Sub(r.request.Received))
 			}
 			partial = append(partial, buffer[:n]...)
-			if !r.handOut(answer, &partial) {
-				return r.callerGone()
+			if !r.forwardEvents(answer, &partial) {
+				return r.callerDisconnected()
 			}
 		}
 		if err == io.EOF {
 			if !h.lag.busy(boottime.Now()) {
-				h.admission.delivered(r.request.Service, placed, pace.late)
+				h.admission.recordStreamEnd(r.request.Service, placed, pace.late)
 			}
-			return r.endStream(placed, answer, partial, pace.late)
+			return r.finishStream(placed, answer, partial, pace.late)
 		}
-		if err == nil && len(partial) > eventMost {
+		if err == nil && len(partial) > maxEventBytes {
 			err = errEventTooLong
 		}
 		if err != nil {
@@ -72,16 +72,16 @@
 	}
 }
 
-// handOut writes the whole events of the partial data and keeps the rest. It
+// forwardEvents writes the complete events of the partial data and keeps the rest. It
 // returns false when the caller can't be reached.
-func (r *run) handOut(answer *backendconn.Answer, partial *[]byte) bool {
-	end := lastEventEnd(*partial)
+func (r *relay) forwardEvents(answer *backendconn.Answer, partial *[]byte) bool {
+	end := completeEventsLen(*partial)
 	if end == 0 {
 		return true
 	}
 	events := (*partial)[:end]
 	if id := lastEventID(events); id != "" {
-		r.stream.lastEvent = id
+		r.stream.lastEventID = id
 	}
 	r.startStream(answer)
 	if _, err := r.writer.Write(events); err != nil {
@@ -94,9 +94,9 @@
 	return true
 }
 
-// startStream writes the head of the answer, once: a stream that goes on at
-// another backend server keeps its first head.
-func (r *run) startStream(answer *backendconn.Answer) {
+// startStream writes the header of the answer, once: a stream that is resumed at another
+// backend server keeps its first header.
+func (r *relay) startStream(answer *backendconn.Answer) {
 	if r.stream.started {
 		return
 	}
@@ -105,33 +105,34 @@
 	r.handler.writeHead(r.writer, answer.Status)
 }
 
-// endStream ends a stream that its backend server has ended whole.
-func (r *run) endStream(placed *placement, answer *backendconn.Answer, rest []byte, late bool) verdict {
+// finishStream ends a stream that its backend server has completed.
+func (r *relay) finishStream(placed *placement, answer *backendconn.Answer, rest []byte, late bool) sendOutcome {
 	r.startStream(answer)
 	if len(rest) > 0 {
-		// Bytes after the last event belong to the body as well.
+		// Bytes after the last event belong to the body too.
 		if _, err := r.writer.Write(rest); err != nil {
-			return r.callerGone()
+			return r.callerDisconnected()
 		}
 	}
-	r.handler.admission.loads.answered(placed.backend.Incarnation, true, 0)
-	r.handler.records.answered(r.request, placed, answer.Status, r.sends, late, nil)
+	r.handler.admission.loads.recordAnswer(placed.backend.Incarnation, true, 0)
+	r.handler.requestLog.answered(r.request, placed, answer.Status, r.sends, late, nil)
 	r.handler.metrics.answered(answer.Status)
-	return verdictDone
+	return outcomeDone
 }
 
-// callerGone ends a request whose caller has left. The connection ends with it: the server
-// would make a success of a request that returns without an answer.
-func (r *run) callerGone() verdict {
-	r.handler.records.callerGone(r.request)
+// callerDisconnected ends a request whose caller has disconnected. It aborts the
+// connection, since net/http would send a success for a request that returns without an
+// answer.
+func (r *relay) callerDisconnected() sendOutcome {
+	r.handler.requestLog.callerDisconnected(r.request)
 	panic(http.ErrAbortHandler)
 }
 
 // eventSeparator ends an event.
 var eventSeparator = []byte("\n\n")
 
-// lastEventEnd returns the length of the whole events at the start of data.
-func lastEventEnd(data []byte) int {
+// completeEventsLen returns the length of the complete events at the start of data.
+func completeEventsLen(data []byte) int {
 	at := bytes.LastIndex(data, eventSeparator)
 	if at < 0 {
 		return 0
--- a/internal/gate/relay_whole.go
+++ b/internal/gate/relay_whole.go
@@ -13,76 +13,76 @@
 	"github.com/bluebellchute/bluebellchute/internal/fleet"
 )
 
-// wholeMost is the size of an answer up to which it is read to its end before
-// it is handed on, so that one that breaks off can be replaced.
-const wholeMost = 1 << 20
+// maxBufferedAnswer is the maximum size of an answer that is read to its end before it is
+// forwarded, so that the request can be retried if the answer breaks off.
+const maxBufferedAnswer = 1 << 20
 
-// restMost is how much of an answer that nobody wants is read to keep its
-// connection.
-const restMost = 16 << 10
+// maxDiscardedBytes is how much of an unwanted answer is read so that its connection can be
+// reused.
+const maxDiscardedBytes = 16 << 10
 
-// wholeAnswer is an answer that has been read to its end.
-type wholeAnswer struct {
+// bufferedAnswer is an answer that has been read to its end.
+type bufferedAnswer struct {
 	placed *placement
 	status int
 	header http.Header
 	body   []byte
 }
 
-// relayWhole reads an answer to its end and hands it on.
-func (r *run) relayWhole(ctx context.Context, placed *placement, answer *backendconn.Answer, reply Reply, sent boottime.Instant) verdict {
+// relayBuffered reads an answer to its end and forwards it.
+func (r *relay) relayBuffered(ctx context.Context, placed *placement, answer *backendconn.Answer, reply Reply, sent boottime.Instant) sendOutcome {
 	var body bytes.Buffer
-	if answer.Length > 0 && answer.Length <= wholeMost {
+	if answer.Length > 0 && answer.Length <= maxBufferedAnswer {
 		body.Grow(int(answer.Length) + bytes.MinRead)
 	}
-	_, err := io.Copy(&body, io.LimitReader(answer, wholeMost))
+	_, err := io.Copy(&body, io.LimitReader(answer, maxBufferedAnswer))
 	if err != nil {
 		return r.answerFailed(ctx, placed, sent, err)
 	}
 	took := boottime.Now().Sub(sent)
-	r.handler.admission.began(r.request, placed, took)
+	r.handler.admission.recordFirstEvent(r.request, placed, took)
 	success := answer.Status < http.StatusMultipleChoices
-	sound := success && reply.sound(r.request)
-	r.handler.admission.loads.answered(placed.backend.Incarnation, sound, took)
+	sound := success && reply.genuine(r.request)
+	r.handler.admission.loads.recordAnswer(placed.backend.Incarnation, sound, took)
 	if sound || !success && answer.Status < http.StatusInternalServerError {
-		r.handler.admission.plainAnswered(placed, sound, took)
+		r.handler.admission.recordPlainAnswer(placed, sound, took)
 	}
 	if success && !sound {
-		r.handler.records.badAnswer(r.request, placed.backend, answer.Status)
-		return verdictBroken
+		r.handler.requestLog.badAnswer(r.request, placed.backend, answer.Status)
+		return outcomeBroken
 	}
-	if body.Len() == wholeMost {
-		return r.relayLong(ctx, placed, answer, reply, body.Bytes())
+	if body.Len() == maxBufferedAnswer {
+		return r.relayUnbuffered(ctx, placed, answer, reply, body.Bytes())
 	}
-	whole := &wholeAnswer{placed: placed, status: answer.Status, header: r.headerOf(answer, reply), body: body.Bytes()}
+	buffered := &bufferedAnswer{placed: placed, status: answer.Status, header: r.callerHeader(answer, reply), body: body.Bytes()}
 	if answer.Status >= http.StatusInternalServerError {
-		// Another backend server may do better; if not, this is the answer.
-		r.handler.records.failed(r.request, placed.backend, answer.Status)
-		r.saved = whole
-		return verdictFailed
+		// Another backend server may succeed; if not, this is the answer.
+		r.handler.requestLog.failed(r.request, placed.backend, answer.Status)
+		r.savedFailure = buffered
+		return outcomeFailed
 	}
-	r.deliver(whole)
-	return verdictDone
+	r.deliver(buffered)
+	return outcomeDone
 }
 
-// late tells whether an answer that is whole now misses its route's target.
-func (r *run) late() bool {
+// late reports whether an answer completed now misses its route's latency target.
+func (r *relay) late() bool {
 	target := r.request.Route.TargetLatency
 	return target > 0 && boottime.Now().Sub(r.request.Received) > target
 }
 
-// headerOf returns the header for the caller. A status that promises that the
-// request did not run is changed by handedStatus, so it may not be signed.
-func (r *run) headerOf(answer *backendconn.Answer, reply Reply) http.Header {
+// callerHeader returns the header for the caller. The signature is removed if callerStatus
+// changes the status.
+func (r *relay) callerHeader(answer *backendconn.Answer, reply Reply) http.Header {
 	header := fleet.EndToEnd(answer.Header)
 	if promisesNotRun(answer.Status) || !reply.Signed {
-		r.handler.dialect.Unsign(header)
+		r.handler.dialect.StripSignature(header)
 	}
 	return header
 }
 
-// promisesNotRun tells whether callers take the status for a promise that the
-// request has not run.
+// promisesNotRun reports whether callers take the status as a promise that the request has
+// not run.
 func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable,
@@ -92,34 +92,34 @@
 	return false
 }
 
-// handedStatus returns the status for the caller. When the status promises that
-// the request did not run, but the backend server did not say that it refused
-// the request, the promise could be untrue.
-func handedStatus(status int) int {
+// callerStatus returns the status for the caller. A status that promises that the request
+// has not run is replaced, as the backend server did not say that it refused the request
+// and the promise could be untrue.
+func callerStatus(status int) int {
 	if promisesNotRun(status) {
 		return http.StatusBadGateway
 	}
 	return status
 }
 
-// deliver hands a whole answer to the caller.
-func (r *run) deliver(whole *wholeAnswer) {
-	status := handedStatus(whole.status)
+// deliver sends a complete answer to the caller.
+func (r *relay) deliver(buffered *bufferedAnswer) {
+	status := callerStatus(buffered.status)
 	header := r.writer.Header()
-	maps.Copy(header, whole.header)
-	header.Set("Content-Length", strconv.Itoa(len(whole.body)))
+	maps.Copy(header, buffered.header)
+	header.Set("Content-Length", strconv.Itoa(len(buffered.body)))
 	r.handler.writeHead(r.writer, status)
-	_, err := r.writer.Write(whole.body)
-	r.handler.records.answered(r.request, whole.placed, status, r.sends, r.late(), err)
+	_, err := r.writer.Write(buffered.body)
+	r.handler.requestLog.answered(r.request, buffered.placed, status, r.sends, r.late(), err)
 	r.handler.metrics.answered(status)
 }
 
-// relayLong hands on an answer that is too long to be held: what has been read
-// and then the rest.
-func (r *run) relayLong(ctx context.Context, placed *placement, answer *backendconn.Answer, reply Reply, read []byte) verdict {
-	status := handedStatus(answer.Status)
+// relayUnbuffered forwards an answer that is too long to be buffered: first what has been
+// read, then the rest.
+func (r *relay) relayUnbuffered(ctx context.Context, placed *placement, answer *backendconn.Answer, reply Reply, read []byte) sendOutcome {
+	status := callerStatus(answer.Status)
 	header := r.writer.Header()
-	maps.Copy(header, r.headerOf(answer, reply))
+	maps.Copy(header, r.callerHeader(answer, reply))
 	if answer.Length >= 0 {
 		header.Set("Content-Length", strconv.FormatInt(answer.Length, 10))
 	}
@@ -130,19 +130,18 @@
 		_, err = io.Copy(r.writer, answer)
 	}
 	if err != nil {
-		if callerLeft(ctx) {
-			return r.callerGone()
+		if callerDisconnected(ctx) {
+			return r.callerDisconnected()
 		}
-		r.giveUp(ctx, Refusal{})
+		r.finish(ctx, Refusal{})
 	}
-	r.handler.records.answered(r.request, placed, status, r.sends, r.late(), nil)
+	r.handler.requestLog.answered(r.request, placed, status, r.sends, r.late(), nil)
 	r.handler.metrics.answered(status)
-	return verdictDone
+	return outcomeDone
 }
 
-// readRest reads an answer that is not handed on, so that its connection can
-// be used again.
-func (r *run) readRest(answer *backendconn.Answer) {
+// discardRest reads an answer that is not forwarded, so that its connection can be reused.
+func (r *relay) discardRest(answer *backendconn.Answer) {
 	// A failure only costs the connection.
-	_, _ = io.Copy(io.Discard, io.LimitReader(answer, restMost))
+	_, _ = io.Copy(io.Discard, io.LimitReader(answer, maxDiscardedBytes))
 }
--- a/internal/gate/request.go
+++ b/internal/gate/request.go
@@ -9,72 +9,71 @@
 	"github.com/bluebellchute/bluebellchute/internal/knowledge"
 )
 
-// Request is a caller's request as the product understands it.
+// Request is a caller's request, independent of its wire format.
 type Request struct {
-	ID       string // of this attempt of the caller's
+	ID       string // of this attempt of the caller
 	Method   string
-	URI      string // path and query as the caller wrote them
+	URI      string // path and query as the caller sent them
 	Path     string // the path alone
 	Host     string
-	Header   http.Header // to be passed on; holds nothing that the system sets
+	Header   http.Header // to be passed on; without the headers that the router sets
 	Body     []byte
 	Key      string
-	Deadline time.Duration // how long the caller waits, 0 if it did not say
+	Deadline time.Duration // how long the caller waits, 0 if not given
 	Prompt   Prompt
-	// LastEvent is the id of the last event that the caller has, "" for none.
-	LastEvent string
-	Received  boottime.Instant
+	// LastEventID is the id of the last event that the caller has received, "" for none.
+	LastEventID string
+	Received    boottime.Instant
 
 	Route       *knowledge.Route
 	Account     *knowledge.Account // nil on public routes
 	Service     fleet.Service
-	Limit       time.Duration // from Received to the final answer
+	Timeout     time.Duration // from Received to the final answer
 	Fingerprint uint64        // the same when the caller sends the request again
 }
 
-// Prompt describes a request for a model. Its zero value stands for a request
-// to a plain service.
+// Prompt describes a model request. Its zero value stands for a request to a plain service.
 type Prompt struct {
 	Tokens    int // of the prompt
-	MaxOutput int // most tokens to be generated
-	// ExpectedOutput is the caller's guess of the tokens to be generated, 0
-	// for none. It is right at the median and often far off.
+	MaxOutput int // maximum number of generated tokens
+	// ExpectedOutput is the caller's estimate of the number of generated tokens, 0 for
+	// none. It is right at the median and often far off.
 	ExpectedOutput int
-	Parts          []PromptPart
+	Segments       []PromptSegment
 }
 
-// PromptPart is a part of a prompt. Requests share parts; a part is kept by an
-// engine only together with all parts before it.
-type PromptPart struct {
+// PromptSegment is a segment of a prompt. Requests share segments; an engine caches a
+// segment only together with all segments before it.
+type PromptSegment struct {
 	ID     string
 	Tokens int
 }
 
-// SharedPart returns the last part that other requests have as well, or "".
-// The last part of all belongs to the request or its session alone.
-func (p Prompt) SharedPart() string {
-	switch len(p.Parts) {
+// SharedSegment returns the id of the last segment that other requests have as well, or "".
+// The last segment of a prompt belongs to the request or its session alone.
+func (p Prompt) SharedSegment() string {
+	switch len(p.Segments) {
 	case 0:
 		return ""
 	case 1:
-		return p.Parts[0].ID
+		return p.Segments[0].ID
 	default:
-		return p.Parts[len(p.Parts)-2].ID
+		return p.Segments[len(p.Segments)-2].ID
 	}
 }
 
-// SharedTokens returns the tokens of the parts that other requests share.
+// SharedTokens returns the number of tokens in the shared segments.
 func (p Prompt) SharedTokens() int {
 	shared := 0
-	for i := range len(p.Parts) - 1 {
-		shared += p.Parts[i].Tokens
+	for i := range len(p.Segments) - 1 {
+		shared += p.Segments[i].Tokens
 	}
 	return shared
 }
 
-// generatedWeight is how often a generated token counts where a prompt token
-// counts once: the users' measure of what engines produce.
-const generatedWeight = 2
+// outputTokenWeight is the weight of a generated token where a prompt token counts 1, as
+// the users measure the output of engines.
+const outputTokenWeight = 2
 
 // Cost returns the tokens that the request takes from the fleet's capacity.
 func (p Prompt) Cost() float64 {
@@ -82,15 +81,17 @@
 	if p.ExpectedOutput > 0 {
 		output = min(p.ExpectedOutput, p.MaxOutput)
 	}
-	return float64(p.Tokens + generatedWeight*output)
+	return float64(p.Tokens + outputTokenWeight*output)
 }
 
-// takesShare tells whether the request takes of what accounts share: it asks a model
-// for something, with a key.
-func (r *Request) takesShare() bool { return r.Account != nil && r.Prompt.Tokens > 0 }
+// countsTowardShare reports whether the request uses its account's share: it is a model
+// request with a key.
+func (r *Request) countsTowardShare() bool { return r.Account != nil && r.Prompt.Tokens > 0 }
 
-// Idempotent tells whether the request may run more than once.
+// Idempotent reports whether the request may run more than once.
 func (r *Request) Idempotent() bool { return r.Route.Repeat != knowledge.RepeatNever }
 
-// Left returns the time that is left for the request at the moment now.
-func (r *Request) Left(now boottime.Instant) time.Duration { return r.Limit - now.Sub(r.Received) }
+// Remaining returns the time that remains for the request.
+func (r *Request) Remaining(now boottime.Instant) time.Duration {
+	return r.Timeout - now.Sub(r.Received)
+}
--- a/internal/gate/records_test.go
+++ b/internal/gate/request_log_test.go
@@ -10,13 +10,12 @@
 	"github.com/bluebellchute/bluebellchute/internal/knowledge"
 )
 
-// Symptom: from the id of a refused request its cause can't be told.
-// Events: a router refuses, or a backend server fails a request.
-// Cause: the record named neither what decided nor the backend server.
-func TestRecordsTellWhatDecided(t *testing.T) {
+// Guards against log entries on refused or failed requests that name neither what decided
+// nor the backend server, so that the cause can't be found from a request's id.
+func TestRequestLogNamesTheCause(t *testing.T) {
 	logger, hook := test.NewNullLogger()
-	records := newRecords(logger, knowledge.NewState(), func() logrus.Fields { return logrus.Fields{} })
-	inputs := Inputs{Backend: "i-1", Standing: 1.234, Ahead: 900 * time.Millisecond, Budget: 600 * time.Millisecond}
+	records := newRequestLog(logger, knowledge.NewState(), func() logrus.Fields { return logrus.Fields{} })
+	inputs := Inputs{Backend: "i-1", ShareUsed: 1.234, Ahead: 900 * time.Millisecond, Budget: 600 * time.Millisecond}
 	records.refused(&Request{ID: "a"}, Refusal{Status: 503, Reason: ReasonBusy, Inputs: inputs})
 	records.failed(&Request{ID: "b"}, &knowledge.Backend{ID: "i-2"}, 500)
 	records.answered(&Request{ID: "b"}, &placement{backend: &knowledge.Backend{ID: "i-3"}}, 500, 2, false, nil)
--- a/internal/gate/run.go
+++ b/internal/gate/run.go
@@ -13,89 +13,89 @@
 )
 
 const (
-	// connectsMost bounds the backend servers tried for one request whose
-	// connections could not even be opened.
-	connectsMost = 3
-	// leastLeft is the time below which a request is not sent any more: its
+	// maxConnectFailures is the maximum number of backend servers tried for one request
+	// whose connections could not be opened.
+	maxConnectFailures = 3
+	// minTimeLeft is the remaining time below which a request is not sent any more: its
 	// answer could not be back in time.
-	leastLeft = 5 * time.Millisecond
+	minTimeLeft = 5 * time.Millisecond
 )
 
-// run is one caller's request on its way through backend servers.
-type run struct {
+// relay forwards one request to backend servers until its caller has an answer.
+type relay struct {
 	handler  *handler
 	request  *Request
 	writer   http.ResponseWriter
 	excluded map[string]bool // backend servers that failed the request
 
-	sends    int  // requests that may have arrived at a backend server
-	connects int  // connections that could not be opened
-	ran      bool // the request may have run
-	stream   streamState
-	saved    *wholeAnswer // a failure of a backend server, kept while another is tried
+	sends           int  // requests that may have arrived at a backend server
+	connectFailures int  // connections that could not be opened
+	mayHaveRun      bool // the request may have run
+	stream          streamState
+	savedFailure    *bufferedAnswer // a backend server's failure, kept while another server is tried
 }
 
-// verdict tells how a run goes on after a send.
-type verdict int
+// sendOutcome is the result of one attempt to send a request.
+type sendOutcome int
 
 const (
-	verdictDone     verdict = iota // the caller has its answer, or has gone
-	verdictDeclined                // the backend server did not run it
-	verdictUnsent                  // nothing was sent
-	verdictBroken                  // it may have run, no usable answer came
-	verdictFailed                  // a failure of the backend server's own is saved
+	outcomeDone     sendOutcome = iota // the caller has its answer, or has disconnected
+	outcomeDeclined                    // the backend server did not run it
+	outcomeUnsent                      // nothing was sent
+	outcomeBroken                      // it may have run, no usable answer came
+	outcomeFailed                      // the backend server answered with a failure, which is saved
 )
 
-// loop sends the request until its caller has an answer. It ends: each turn
-// either answers, counts a send towards the route's bound, or counts a
-// connection towards its own.
-func (r *run) loop(ctx context.Context) {
+// loop sends the request until its caller has an answer. It terminates: each iteration
+// either answers, counts a send towards the route's limit, or counts a failed connection
+// towards maxConnectFailures.
+func (r *relay) loop(ctx context.Context) {
 	for {
-		if r.sends == 0 && r.connects == 0 && !r.handler.drain.takes(r.request, boottime.Now()) {
-			r.giveUp(ctx, drainRefusal())
+		if r.sends == 0 && r.connectFailures == 0 && !r.handler.drain.accepts(r.request, boottime.Now()) {
+			r.finish(ctx, drainRefusal())
 			return
 		}
 		view := r.handler.state.View()
 		placed, refusal := r.handler.admission.place(r.request, view, r.excluded)
 		if refusal != nil {
-			r.giveUp(ctx, *refusal)
+			r.finish(ctx, *refusal)
 			return
 		}
 		if r.sends > 0 && !r.handler.budget.spend(r.request.Service) {
-			r.handler.admission.ended(r.request, placed, false)
-			r.giveUp(ctx, r.failure())
+			r.handler.admission.release(r.request, placed, false)
+			r.finish(ctx, r.failure())
 			return
 		}
 		result := r.send(ctx, placed)
-		if result == verdictDone {
+		if result == outcomeDone {
 			return
 		}
 		r.excluded[placed.backend.ID] = true
-		if !r.mayGoOn(ctx, result) {
-			r.giveUp(ctx, r.failure())
+		if !r.mayRetry(ctx, result) {
+			r.finish(ctx, r.failure())
 			return
 		}
 	}
 }
 
-// mayGoOn tells whether the request may be sent to another backend server.
-func (r *run) mayGoOn(ctx context.Context, result verdict) bool {
+// mayRetry reports whether the request may be sent to another backend server.
+func (r *relay) mayRetry(ctx context.Context, result sendOutcome) bool {
 	switch {
-	case ctx.Err() != nil, r.request.Left(boottime.Now()) < leastLeft:
+	case ctx.Err() != nil, r.request.Remaining(boottime.Now()) < minTimeLeft:
 		return false
-	case r.sends >= max(r.request.Route.MaxAttempts, 1), r.connects >= connectsMost:
+	case r.sends >= max(r.request.Route.MaxAttempts, 1), r.connectFailures >= maxConnectFailures:
 		return false
 	case r.stream.started:
-		return r.request.Route.Repeat == knowledge.RepeatResume && r.stream.lastEvent != ""
-	case result == verdictBroken, result == verdictFailed:
+		return r.request.Route.Repeat == knowledge.RepeatResume && r.stream.lastEventID != ""
+	case result == outcomeBroken, result == outcomeFailed:
 		return r.request.Idempotent()
 	}
 	return true
 }
 
-// failure returns the final answer when no backend server gave one.
-func (r *run) failure() Refusal {
-	if r.ran {
+// failure returns the final answer if no backend server gave one.
+func (r *relay) failure() Refusal {
+	if r.mayHaveRun {
 		return Refusal{Status: http.StatusBadGateway, Reason: ReasonBroken}
 	}
 	return Refusal{
@@ -105,126 +105,125 @@
 	}
 }
 
-// giveUp gives the final answer at once.
-func (r *run) giveUp(ctx context.Context, refusal Refusal) {
+// finish gives the final answer immediately.
+func (r *relay) finish(ctx context.Context, refusal Refusal) {
 	if r.stream.started {
-		// The head of an answer has been sent. Only a connection that ends
-		// early tells the caller that the stream is not complete.
-		r.handler.records.brokeOff(r.request, r.sends, drained(ctx))
+		// The header of an answer has been sent. Only a connection that ends early tells
+		// the caller that the stream is not complete.
+		r.handler.requestLog.streamAborted(r.request, r.sends, cancelledByDrain(ctx))
 		panic(http.ErrAbortHandler)
 	}
-	if r.saved != nil {
-		r.deliver(r.saved)
+	if r.savedFailure != nil {
+		r.deliver(r.savedFailure)
 		return
 	}
-	if r.ran && refusal.Status == http.StatusServiceUnavailable {
+	if r.mayHaveRun && refusal.Status == http.StatusServiceUnavailable {
 		// 503 promises that the request has not run.
 		refusal = Refusal{Status: http.StatusBadGateway, Reason: ReasonBroken}
 	}
 	switch {
-	case drained(ctx):
-		refusal = r.drainEnded()
+	case cancelledByDrain(ctx):
+		refusal = r.drainEndedRefusal()
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		refusal = r.timedOut()
+		refusal = r.timeoutRefusal()
 	case errors.Is(ctx.Err(), context.Canceled):
 		refusal.Reason = ReasonCallerGone
 	}
 	r.handler.refuse(r.writer, r.request, refusal)
 }
 
-func (r *run) drainEnded() Refusal {
-	if r.ran {
+func (r *relay) drainEndedRefusal() Refusal {
+	if r.mayHaveRun {
 		return Refusal{Status: http.StatusBadGateway, Reason: ReasonDraining}
 	}
 	return drainRefusal()
 }
 
-func (r *run) timedOut() Refusal {
-	if r.ran {
+func (r *relay) timeoutRefusal() Refusal {
+	if r.mayHaveRun {
 		return Refusal{Status: http.StatusGatewayTimeout, Reason: ReasonTimeout}
 	}
 	return Refusal{
 		Status:     http.StatusServiceUnavailable,
-		Reason:     ReasonLate,
+		Reason:     ReasonTooLate,
 		RetryAfter: r.handler.admission.retryAfter(r.request),
 	}
 }
 
-// send sends the request to the backend server of its place and hands the
-// answer on.
-func (r *run) send(ctx context.Context, placed *placement) verdict {
+// send sends the request to the backend server of its placement and forwards the answer.
+func (r *relay) send(ctx context.Context, placed *placement) sendOutcome {
 	h := r.handler
-	if callerLeft(ctx) {
-		h.admission.ended(r.request, placed, false)
-		return r.callerGone()
+	if callerDisconnected(ctx) {
+		h.admission.release(r.request, placed, false)
+		return r.callerDisconnected()
 	}
 	if ctx.Err() != nil {
-		h.admission.ended(r.request, placed, false)
-		return verdictUnsent
+		h.admission.release(r.request, placed, false)
+		return outcomeUnsent
 	}
 	if placed.model {
 		h.metrics.placedModel(placed, h.admission.zone)
 	}
 	sent := boottime.Now()
-	answer, err := h.pool.Do(ctx, placed.backend.Address, r.outgoing(ctx, placed, sent))
+	answer, err := h.pool.Do(ctx, placed.backend.Address, r.outgoingRequest(ctx, placed, sent))
 	if err != nil {
 		return r.sendFailed(ctx, placed, sent, err)
 	}
 	defer answer.Close()
 	r.sends++
 	reply := h.dialect.Reply(answer.Status, answer.Header)
-	h.heed(placed.backend, reply)
+	h.observeReply(placed.backend, reply)
 	if !reply.Replaced {
-		h.heard(placed.backend, sent, boottime.Now())
+		h.dataReceived(placed.backend, sent, boottime.Now())
 	}
 	if reply.Refused || reply.Replaced {
-		h.records.declined(r.request, placed.backend, answer.Status, reply.Replaced)
-		h.admission.ended(r.request, placed, false)
+		h.requestLog.declined(r.request, placed.backend, answer.Status, reply.Replaced)
+		h.admission.release(r.request, placed, false)
 		if reply.Replaced {
-			h.admission.loads.broken(placed.backend.Incarnation)
+			h.admission.loads.recordConnectionFailure(placed.backend.Incarnation)
 		}
-		r.readRest(answer)
-		return verdictDeclined
+		r.discardRest(answer)
+		return outcomeDeclined
 	}
-	r.ran = true
-	defer h.admission.ended(r.request, placed, true)
+	r.mayHaveRun = true
+	defer h.admission.release(r.request, placed, true)
 	if r.stream.started && answer.Status >= http.StatusMultipleChoices {
-		// A failure can't follow the first events of a stream.
-		r.readRest(answer)
-		return verdictBroken
+		// A failure status can't follow the first events of a stream.
+		r.discardRest(answer)
+		return outcomeBroken
 	}
 	if r.request.Route.Stream && answer.Status < http.StatusMultipleChoices {
 		return r.relayStream(ctx, placed, answer, reply, sent)
 	}
-	return r.relayWhole(ctx, placed, answer, reply, sent)
+	return r.relayBuffered(ctx, placed, answer, reply, sent)
 }
 
-// heed takes what the backend server says of itself with an answer.
-func (h *handler) heed(backend *knowledge.Backend, reply Reply) {
+// observeReply records what the backend server reports about itself with an answer.
+func (h *handler) observeReply(backend *knowledge.Backend, reply Reply) {
 	if reply.Replaced {
-		return // another server has answered, and it speaks of itself
+		return // the report is that of another server
 	}
-	h.admission.cold.warn(backend.Incarnation, reply.ColdLeft)
+	h.admission.cold.markCold(backend.Incarnation, reply.ColdRemaining)
 	now := boottime.Now()
-	h.admission.paces.heed(backend, reply, now)
-	if reply.Leaving && h.admission.closures.add(backend.Incarnation, forGood, now) {
-		h.records.leaves(backend)
+	h.admission.paces.recordReport(backend, reply, now)
+	if reply.Draining && h.admission.unavailable.add(backend.Incarnation, indefinitely, now) {
+		h.requestLog.backendDraining(backend)
 	}
-	if reply.ClosedFor > 0 && h.admission.closures.add(backend.Incarnation, now.Add(reply.ClosedFor), now) {
-		h.records.closes(backend, reply.ClosedFor)
+	if reply.UnavailableFor > 0 && h.admission.unavailable.add(backend.Incarnation, now.Add(reply.UnavailableFor), now) {
+		h.requestLog.backendRejecting(backend, reply.UnavailableFor)
 	}
 }
 
-func (r *run) outgoing(ctx context.Context, placed *placement, now boottime.Instant) *backendconn.Request {
+func (r *relay) outgoingRequest(ctx context.Context, placed *placement, now boottime.Instant) *backendconn.Request {
 	forward := &Forward{
-		Request:   r.request,
-		Backend:   placed.backend,
-		Left:      r.request.Left(now),
-		LastEvent: r.stream.lastEvent,
-		Holder:    placed.holder,
+		Request:     r.request,
+		Backend:     placed.backend,
+		Remaining:   r.request.Remaining(now),
+		LastEventID: r.stream.lastEventID,
+		FetchSource: placed.fetchSource,
 	}
-	if forward.LastEvent == "" {
-		forward.LastEvent = r.request.LastEvent
+	if forward.LastEventID == "" {
+		forward.LastEventID = r.request.LastEventID
 	}
 	return &backendconn.Request{
 		Method:         r.request.Method,
@@ -232,105 +231,106 @@
 		Host:           r.request.Host,
 		Header:         r.handler.dialect.ForwardHeader(forward),
 		Body:           r.request.Body,
-		Mine:           r.mine,
+		MatchesRequest: r.ownAnswer,
 		MaxConnections: r.maxConnections(placed.backend),
-		Check:          func() error { return r.check(ctx, placed.backend) },
-		Sending:        func() { placed.permit.Sent(boottime.Now()) },
+		BeforeSend:     func() error { return r.checkBeforeSend(ctx, placed.backend) },
+		OnSend:         func() { placed.permit.MarkSent(boottime.Now()) },
 	}
 }
 
-// errClosed tells that the backend server has said meanwhile that it wants nothing.
-var errClosed = errors.New("the backend server takes nothing new")
+// errRejecting is returned if the backend server has started to reject new requests
+// meanwhile.
+var errRejecting = errors.New("the backend server rejects new requests")
 
-// check returns why a request is not to be sent after all. On a busy processor, or on a
-// link that loses packets, a connection takes seconds to be opened: meanwhile the caller
-// may leave, and the backend server may say that it wants nothing.
-func (r *run) check(ctx context.Context, backend *knowledge.Backend) error {
-	if callerLeft(ctx) {
-		return backendconn.ErrAbandoned
+// checkBeforeSend returns why a request must not be sent after all. On a busy processor, or
+// on a link that loses packets, it takes seconds to open a connection: meanwhile the caller
+// may disconnect, or the backend server may start to reject requests.
+func (r *relay) checkBeforeSend(ctx context.Context, backend *knowledge.Backend) error {
+	if callerDisconnected(ctx) {
+		return backendconn.ErrCallerDisconnected
 	}
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	if r.handler.admission.closures.has(backend.Incarnation, boottime.Now()) {
-		return errClosed
+	if r.handler.admission.unavailable.has(backend.Incarnation, boottime.Now()) {
+		return errRejecting
 	}
 	return nil
 }
 
-// connectionShare is the part of a backend server's connections that the
-// routers use together. A backend server resets connections beyond its bound,
-// and takes fewer while its queue is long.
+// connectionShare is the fraction of a backend server's maximum connections that all
+// routers together use. A backend server resets connections beyond its maximum, and accepts
+// fewer while its queue is long.
 const connectionShare = 0.8
 
-// maxConnections returns the connections that this router may have to the
-// backend server: what the others leave, but at least its even share. Callers
-// come unevenly, so an even share alone would refuse them at one router while
-// the backend server has room.
-func (r *run) maxConnections(backend *knowledge.Backend) int {
+// maxConnections returns the number of connections that this router may have to the backend
+// server: what the others leave, but at least its even share. Callers are spread unevenly,
+// so with the even share alone one router would refuse requests while the backend server
+// has capacity.
+func (r *relay) maxConnections(backend *knowledge.Backend) int {
 	service := r.handler.state.View().Index.Service(r.request.Service)
 	if service == nil || service.MaxConnections == 0 {
 		return 0
 	}
 	peers := r.handler.admission.peers
-	most := float64(service.MaxConnections) * connectionShare
-	even := most / float64(max(peers.Routers(), 1))
-	left := most - float64(peers.Load(backend.IncarnationHash).Running)
-	return max(int(even), int(left), 1)
+	usable := float64(service.MaxConnections) * connectionShare
+	even := usable / float64(max(peers.Routers(), 1))
+	unused := usable - float64(peers.Load(backend.IncarnationHash).Running)
+	return max(int(even), int(unused), 1)
 }
 
-// mine tells whether an answer is this request's. Refusals may bear no id.
-func (r *run) mine(header http.Header) bool {
+// ownAnswer reports whether an answer belongs to this request. Refusals may have no id.
+func (r *relay) ownAnswer(header http.Header) bool {
 	id := r.handler.dialect.Reply(0, header).ID
 	return id == "" || id == r.request.ID
 }
 
-func (r *run) sendFailed(ctx context.Context, placed *placement, sent boottime.Instant, err error) verdict {
+func (r *relay) sendFailed(ctx context.Context, placed *placement, sent boottime.Instant, err error) sendOutcome {
 	h := r.handler
-	unsent := backendconn.ProgressOf(err) == backendconn.ProgressNone
-	h.admission.ended(r.request, placed, !unsent)
-	if errors.Is(err, backendconn.ErrAbandoned) || callerCanceled(ctx) {
-		return r.callerGone()
-	}
-	r.noteFailed(ctx, placed, err)
-	h.noteRefusal(placed.backend, sent, err)
-	if unsent {
-		r.connects++
-		if ctx.Err() == nil && !errors.Is(err, backendconn.ErrTooMany) && !errors.Is(err, errClosed) {
-			h.admission.loads.broken(placed.backend.Incarnation)
-			h.admission.cold.mayRestart(h.state.View(), placed.backend)
+	notSent := backendconn.ProgressOf(err) == backendconn.ProgressNone
+	h.admission.release(r.request, placed, !notSent)
+	if errors.Is(err, backendconn.ErrCallerDisconnected) || callerCanceled(ctx) {
+		return r.callerDisconnected()
+	}
+	r.logSendFailure(ctx, placed, err)
+	h.observeConnectError(placed.backend, sent, err)
+	if notSent {
+		r.connectFailures++
+		if ctx.Err() == nil && !errors.Is(err, backendconn.ErrTooMany) && !errors.Is(err, errRejecting) {
+			h.admission.loads.recordConnectionFailure(placed.backend.Incarnation)
+			h.admission.cold.assumeRestart(h.state.View(), placed.backend)
 		}
-		return verdictUnsent
+		return outcomeUnsent
 	}
 	r.sends++
-	r.ran = true
-	r.brokenBy(ctx, placed, sent)
-	return verdictBroken
+	r.mayHaveRun = true
+	r.recordReset(ctx, placed, sent)
+	return outcomeBroken
 }
 
-// answerFailed ends an answer that could not be read to its end.
-func (r *run) answerFailed(ctx context.Context, placed *placement, sent boottime.Instant, err error) verdict {
+// answerFailed handles an answer that could not be read to its end.
+func (r *relay) answerFailed(ctx context.Context, placed *placement, sent boottime.Instant, err error) sendOutcome {
 	if callerCanceled(ctx) {
-		return r.callerGone()
+		return r.callerDisconnected()
 	}
-	r.noteFailed(ctx, placed, err)
-	r.brokenBy(ctx, placed, sent)
-	return verdictBroken
+	r.logSendFailure(ctx, placed, err)
+	r.recordReset(ctx, placed, sent)
+	return outcomeBroken
 }
 
-// noteFailed writes that an exchange failed, unless this router has ended it.
-func (r *run) noteFailed(ctx context.Context, placed *placement, err error) {
-	if !drained(ctx) {
-		r.handler.records.sendFailed(r.request, placed.backend, err)
+// logSendFailure logs that an exchange failed, unless the end of draining cancelled it.
+func (r *relay) logSendFailure(ctx context.Context, placed *placement, err error) {
+	if !cancelledByDrain(ctx) {
+		r.handler.requestLog.sendFailed(r.request, placed.backend, err)
 	}
 }
 
-// brokenBy notes that the connection to a backend server broke while it had the
-// request, unless the caller or the clock ended it.
-func (r *run) brokenBy(ctx context.Context, placed *placement, sent boottime.Instant) {
+// recordReset records that the connection to a backend server was reset while it had the
+// request, unless the context has ended.
+func (r *relay) recordReset(ctx context.Context, placed *placement, sent boottime.Instant) {
 	if ctx.Err() != nil {
 		return
 	}
-	r.handler.breaks.broke(placed.backend.Incarnation, r.request.Fingerprint, sent, boottime.Now())
-	r.handler.admission.loads.answered(placed.backend.Incarnation, false, 0)
+	r.handler.crashDetector.addReset(placed.backend.Incarnation, r.request.Fingerprint, sent, boottime.Now())
+	r.handler.admission.loads.recordAnswer(placed.backend.Incarnation, false, 0)
 }
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -120,7 +120,7 @@
 
 func newRouter(engines int, settings policy.Settings) *router {
 	ledger := shares.NewLedger()
-	ledger.Observe = settings.ObservedCapacity
+	ledger.ObserveCapacity = settings.ObservedCapacity
 	return &router{ledger: ledger, own: make([]load, engines), others: make([]load, engines), told: make([]load, engines)}
 }
 
@@ -156,25 +156,25 @@
 // decide places a caller's request or refuses it, as a router does.
 func (r *fleetRun) decide(c *caller) {
 	router := r.routers[r.routerOf(c)]
-	router.ledger.Asked(c.account, c.cost, r.now)
-	facts := policy.Facts{
-		Standing: r.standing(router, c),
-		Target:   c.kind.Target,
-		Tightest: r.tightest,
-		Headroom: router.headroom.Part(r.settings.LeastHeadroom),
+	router.ledger.AddRequested(c.account, c.cost, r.now)
+	facts := policy.ModelRequest{
+		Usage:          r.standing(router, c),
+		Target:         c.kind.Target,
+		ShortestTarget: r.tightest,
+		Headroom:       router.headroom.Value(r.settings.LeastHeadroom),
 	}
 	tier := r.settings.Tier(facts, r.random.Float64())
-	if !r.settings.Open(tier, facts.Standing) {
+	if !r.settings.TierOpen(tier, facts.Usage) {
 		r.refuse(c)
 		return
 	}
 	bounds := r.settings.Bounds(tier, facts)
-	ranked := selection.Rank(r.hashes, func(hash uint64) uint64 { return hash }, c.key, bounds.Engines)
-	demand := selection.Demand{Shared: float64(c.kind.Shared), Own: c.own, Output: float64(c.kind.Output), Budget: bounds.Budget, Whole: bounds.Whole}
-	choice := selection.Model(len(ranked), r.candidates(router, ranked), demand, selection.Limits{
-		Rate:          router.rate.Rate(r.deployment.Stated / float64(r.deployment.Engines)),
-		SlotShare:     bounds.Slots,
-		MemoryShare:   bounds.Memory,
+	ranked := selection.Rank(r.hashes, func(hash uint64) uint64 { return hash }, c.key, bounds.MaxEngines)
+	demand := selection.Demand{SharedTokens: float64(c.kind.Shared), OwnTokens: c.own, OutputTokens: float64(c.kind.Output), Budget: bounds.Budget, CountOwnPrompt: bounds.CountOwnPrompt}
+	choice := selection.ChooseEngine(len(ranked), r.candidates(router, ranked), demand, selection.Limits{
+		Rate:          router.rate.Estimate(r.deployment.Stated / float64(r.deployment.Engines)),
+		SlotShare:     bounds.SlotShare,
+		MemoryShare:   bounds.MemoryShare,
 		SecondPenalty: r.settings.SecondPenalty,
 	})
 	if !choice.Fits {
@@ -182,18 +182,18 @@
 		return
 	}
 	if tier == policy.TierIdle {
-		router.ledger.GotIdle(c.account, c.cost, r.now)
+		router.ledger.AddIdle(c.account, c.cost, r.now)
 	} else {
-		router.ledger.Got(c.account, c.cost, r.now)
+		router.ledger.AddGranted(c.account, c.cost, r.now)
 	}
-	r.send(c, router, ranked[choice.Place], load{running: 1, pending: choice.Tokens, memory: float64(c.kind.Shared) + c.own + float64(c.kind.Output)})
+	r.send(c, router, ranked[choice.Place], load{running: 1, pending: choice.PromptTokens, memory: float64(c.kind.Shared) + c.own + float64(c.kind.Output)})
 }
 
-func (r *fleetRun) standing(router *router, c *caller) policy.Standing {
-	return policy.Standing{
-		Got:      router.ledger.Standing(c.account, c.cost, r.deployment.Stated, r.now),
-		Whole:    router.ledger.Whole(c.account, c.cost, r.now),
-		Shortage: router.ledger.Shortage(),
+func (r *fleetRun) standing(router *router, c *caller) policy.AccountUsage {
+	return policy.AccountUsage{
+		ShareUsed:     router.ledger.ShareUsed(c.account, c.cost, r.deployment.Stated, r.now),
+		EvenShareUsed: router.ledger.EvenShareUsed(c.account, c.cost, r.now),
+		Shortage:      router.ledger.Shortage(),
 	}
 }
 
@@ -231,7 +231,7 @@
 		r.emitted = append(r.emitted, func() {
 			if number == 1 {
 				router.own[index].pending -= entered.pending
-				router.rate.Note(pending, r.now.Sub(sent))
+				router.rate.Observe(pending, r.now.Sub(sent))
 				late = r.now.Sub(c.came) > c.kind.Target
 			} else {
 				late = late || r.now.Sub(last) > c.kind.Gap
@@ -240,7 +240,7 @@
 			if whole {
 				router.own[index].running--
 				router.own[index].memory -= entered.memory
-				router.headroom.Note(late)
+				router.headroom.Observe(late)
 				r.result.answered(c, late)
 			}
 		})
