--- a/internal/gate/caller_disconnect_test.go
+++ b/internal/gate/caller_disconnect_test.go
@@ -11,7 +11,6 @@
 	"github.com/bluebellchute/bluebellchute/internal/event"
 )
 
-// silent never answers.
 func neverAnswers(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 
 // headerOnly answers with a header and a part of the body.
@@ -33,10 +32,10 @@
 }
 
 // logEntries returns the number of log entries of the event.
-func logEntries(hook *test.Hook, which event.Event) int {
+func logEntries(hook *test.Hook, kind event.Event) int {
 	count := 0
 	for _, entry := range hook.AllEntries() {
-		if entry.Data["event"] == which.Number {
+		if entry.Data["event"] == kind.Number {
 			count++
 		}
 	}
@@ -63,9 +62,9 @@
 			awaitCount(t, "arrivals", func() int { return int(g.arrived.Load()) })
 			time.Sleep(50 * time.Millisecond) // until a header that was sent has arrived
 			conn.Close()
-			awaitCount(t, "log entries of a disconnected caller", func() int { return logEntries(g.records, event.GateCallerDisconnected) })
+			awaitCount(t, "log entries of a disconnected caller", func() int { return logEntries(g.logs, event.GateCallerDisconnected) })
 			for _, wrong := range []event.Event{event.GateSendFailed, event.GateStreamAborted, event.GateRefused} {
-				if count := logEntries(g.records, wrong); count != 0 {
+				if count := logEntries(g.logs, wrong); count != 0 {
 					t.Errorf("%d log entries of %q", count, wrong.Message)
 				}
 			}
@@ -82,8 +81,8 @@
 	if err := g.Drain(context.Background()); err == nil {
 		t.Error("Drain returns no error though a request was cancelled")
 	}
-	awaitCount(t, "aborted streams", func() int { return logEntries(g.records, event.GateStreamAborted) })
-	if count := logEntries(g.records, event.GateSendFailed); count != 0 {
+	awaitCount(t, "aborted streams", func() int { return logEntries(g.logs, event.GateStreamAborted) })
+	if count := logEntries(g.logs, event.GateSendFailed); count != 0 {
 		t.Errorf("%d log entries of a failed server", count)
 	}
 }
--- a/internal/gate/crash_detector_test.go
+++ b/internal/gate/crash_detector_test.go
@@ -268,9 +268,9 @@
 		disproved := make(map[string]bool) // resets whose server has answered since
 		count := func(some judgedResets) {
 			judged += len(some.fingerprints)
-			for _, print := range some.fingerprints {
-				if some.verdict == resetServerDown && disproved[fmt.Sprint(some.incarnation, print)] {
-					t.Fatalf("%d counts as a crash of %s, which answered after the reset", print, some.incarnation)
+			for _, fingerprint := range some.fingerprints {
+				if some.verdict == resetServerDown && disproved[fmt.Sprint(some.incarnation, fingerprint)] {
+					t.Fatalf("%d counts as a crash of %s, which answered after the reset", fingerprint, some.incarnation)
 				}
 			}
 		}
@@ -310,8 +310,8 @@
 
 func TestPendingResetsAreBounded(t *testing.T) {
 	w := newCrashDetector()
-	for print := range uint64(3 * maxPendingResets) {
-		w.addReset(fmt.Sprint("i-", print%50), print, testStart, testStart)
+	for fingerprint := range uint64(3 * maxPendingResets) {
+		w.addReset(fmt.Sprint("i-", fingerprint%50), fingerprint, testStart, testStart)
 	}
 	if got := w.pendingCount.Load(); got != maxPendingResets || len(w.byRequest) != maxPendingResets {
 		t.Errorf("%d are pending, of %d requests", got, len(w.byRequest))
--- a/internal/gate/crash_fleet_test.go
+++ b/internal/gate/crash_fleet_test.go
@@ -83,8 +83,8 @@
 		if judged.verdict != resetServerDown {
 			continue
 		}
-		for _, print := range judged.fingerprints {
-			router.suspects.crashed(print)
+		for _, fingerprint := range judged.fingerprints {
+			router.suspects.crashed(fingerprint)
 			for other := range f.routers {
 				if other != self {
 					f.routers[other].reports = append(f.routers[other].reports, crashReport{from: self, at: f.now.Add(reportDelay)})
--- a/internal/gate/drain_test.go
+++ b/internal/gate/drain_test.go
@@ -30,7 +30,7 @@
 type drainingGate struct {
 	*Manager
 	address string
-	records *test.Hook
+	logs    *test.Hook
 	arrived atomic.Int32
 	drained chan error
 }
@@ -46,7 +46,7 @@
 	}))
 	t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
 	logger, hook := test.NewNullLogger()
-	g.records = hook
+	g.logs = hook
 	state := knowledge.NewState()
 	destinations := []knowledge.Destination{{Service: "s", Weight: 1}}
 	state.SetConfiguration(&knowledge.Configuration{Version: 1, Limits: defaultLimits, Routes: []knowledge.Route{
--- a/internal/gate/entry.go
+++ b/internal/gate/entry.go
@@ -31,7 +31,7 @@
 
 // cpuMonitor reports whether the router's processor can serve more callers.
 type cpuMonitor interface {
-	// stalled reports whether requests in progress make no progress.
+	// stalled reports whether requests in progress wait too long for the processor.
 	stalled() bool
 	// recordShedding records that connections are refused because of the load.
 	recordShedding()
@@ -84,7 +84,7 @@
 			MaxHeaderBytes:    limits.HeaderBytes,
 			ReadHeaderTimeout: limits.HeaderTimeout,
 			IdleTimeout:       limits.IdleTimeout,
-			// Errors of callers are their own and would flood the log.
+			// Errors caused by callers would flood the log.
 			ErrorLog:    log.New(io.Discard, "", 0),
 			BaseContext: func(net.Listener) context.Context { return e.drain.requests },
 			ConnContext: withCallerConn,
--- a/internal/gate/lag.go
+++ b/internal/gate/lag.go
@@ -41,9 +41,9 @@
 	// owedShare is the share of accepted requests down to which only requests beyond their
 	// accounts' shares are refused.
 	owedShare = 0.5
-	// minOverload is how long the router counts as overloaded at least. The load balancer
-	// needs two seconds to notice a change.
-	minOverload = 3 * time.Second
+	// recoveryDelay is the minimum time after the last overload until the router stops
+	// counting as overloaded. The load balancer needs two seconds to notice a change.
+	recoveryDelay = 3 * time.Second
 )
 
 // lagMeter measures how long a goroutine waits for the processor, to detect that a router
@@ -61,12 +61,12 @@
 // the next.
 type lagMeter struct {
 	logger          logrus.FieldLogger
-	sheddingSeconds prometheus.Counter // seconds
+	sheddingSeconds prometheus.Counter // time in which connections were refused
 
 	overloaded   atomic.Bool
 	shareBits    atomic.Uint64    // share of requests that are accepted, as bits of a float64
 	yieldedAt    atomic.Int64     // boottime.Instant of the yield in progress, 0 for none
-	averageLag   atomic.Int64     // of the lag, nanoseconds
+	averageLag   atomic.Int64     // nanoseconds
 	lastShed     atomic.Int64     // boottime.Instant when connections were last refused
 	lastOverload boottime.Instant // when an overload was last seen
 }
@@ -117,7 +117,7 @@
 		m.setShare(max(m.share()*shareDecrease, minShare))
 	case average < recoveredLag:
 		m.setShare(min(m.share()+shareIncrease, 1))
-		if now.Sub(m.lastOverload) > minOverload {
+		if now.Sub(m.lastOverload) > recoveryDelay {
 			m.overloaded.Store(false)
 		}
 	}
--- a/internal/gate/manager.go
+++ b/internal/gate/manager.go
@@ -134,8 +134,8 @@
 	// isolatedChecks is how many checks in a row must find the router isolated. After an
 	// outage of the store some routers reach it sooner than others.
 	isolatedChecks = 8
-	// contactAgeShare is the fraction of Settings.Revoke after which a router that the
-	// store does not answer counts as isolated.
+	// contactAgeShare is the fraction of Settings.Revoke by which another router's contact
+	// with the store must be newer for this router to count as isolated.
 	contactAgeShare = 0.5
 )
 
@@ -260,21 +260,21 @@
 
 func (m *Manager) logBackends(before, view *knowledge.View) {
 	added, removed := lo.Difference(lo.Keys(view.Backends), lo.Keys(before.Backends))
-	var leaving []string
+	var draining []string
 	for id, backend := range view.Backends {
 		previous := before.Backends[id]
 		if backend.Draining && (previous == nil || !previous.Draining) {
-			leaving = append(leaving, id)
+			draining = append(draining, id)
 		}
 	}
-	if len(added)+len(removed)+len(leaving) == 0 {
+	if len(added)+len(removed)+len(draining) == 0 {
 		return
 	}
 	slices.Sort(added)
 	slices.Sort(removed)
-	slices.Sort(leaving)
+	slices.Sort(draining)
 	event.GateBackendsChanged.Log(m.options.Logger, logrus.Fields{
-		"added": added, "removed": removed, "leaving": leaving,
+		"added": added, "removed": removed, "leaving": draining,
 		"era": view.Position.Era, "revision": view.Position.Revision,
 	})
 }
--- a/internal/gate/records.go
+++ b/internal/gate/records.go
@@ -27,8 +27,8 @@
 	answersBurst     = 10
 	// droppedInterval is the interval at which the number of dropped entries is logged.
 	droppedInterval = 5 * time.Second
-	// tallyInterval is the interval at which request counts are logged.
-	tallyInterval = time.Second
+	// countsInterval is the interval at which request counts are logged.
+	countsInterval = time.Second
 )
 
 // requestLog logs the decisions on requests, at a bounded rate.
@@ -59,7 +59,7 @@
 func (r *requestLog) Run(ctx context.Context) error {
 	ticker := time.NewTicker(droppedInterval)
 	defer ticker.Stop()
-	tallies := time.NewTicker(tallyInterval)
+	tallies := time.NewTicker(countsInterval)
 	defer tallies.Stop()
 	for {
 		select {
--- a/internal/gate/relay_whole.go
+++ b/internal/gate/relay_whole.go
@@ -71,8 +71,8 @@
 	return target > 0 && boottime.Now().Sub(r.request.Received) > target
 }
 
-// callerHeader returns the header for the caller. The signature is removed if callerStatus
-// changes the status.
+// callerHeader returns the header for the caller. The signature is removed if it is not
+// valid, or if callerStatus changes the status.
 func (r *relay) callerHeader(answer *backendconn.Answer, reply Reply) http.Header {
 	header := fleet.EndToEnd(answer.Header)
 	if promisesNotRun(answer.Status) || !reply.Signed {
--- a/internal/gate/request_log_test.go
+++ b/internal/gate/request_log_test.go
@@ -14,13 +14,13 @@
 // nor the backend server, so that the cause can't be found from a request's id.
 func TestRequestLogNamesTheCause(t *testing.T) {
 	logger, hook := test.NewNullLogger()
-	records := newRequestLog(logger, knowledge.NewState(), func() logrus.Fields { return logrus.Fields{} })
+	requestLog := newRequestLog(logger, knowledge.NewState(), func() logrus.Fields { return logrus.Fields{} })
 	inputs := Inputs{Backend: "i-1", ShareUsed: 1.234, Ahead: 900 * time.Millisecond, Budget: 600 * time.Millisecond}
-	records.refused(&Request{ID: "a"}, Refusal{Status: 503, Reason: ReasonBusy, Inputs: inputs})
-	records.failed(&Request{ID: "b"}, &knowledge.Backend{ID: "i-2"}, 500)
-	records.answered(&Request{ID: "b"}, &placement{backend: &knowledge.Backend{ID: "i-3"}}, 500, 2, false, nil)
+	requestLog.refused(&Request{ID: "a"}, Refusal{Status: 503, Reason: ReasonBusy, Inputs: inputs})
+	requestLog.failed(&Request{ID: "b"}, &knowledge.Backend{ID: "i-2"}, 500)
+	requestLog.answered(&Request{ID: "b"}, &placement{backend: &knowledge.Backend{ID: "i-3"}}, 500, 2, false, nil)
 	plain := Inputs{Backend: "i-4", Plain: true, Wait: 300 * time.Millisecond, Budget: 180 * time.Millisecond}
-	records.refused(&Request{ID: "c"}, Refusal{Status: 503, Reason: ReasonBusy, Inputs: plain})
+	requestLog.refused(&Request{ID: "c"}, Refusal{Status: 503, Reason: ReasonBusy, Inputs: plain})
 	for i, want := range []map[string]any{
 		{"request": "a", "backend": "i-1", "standing": 1.23, "ahead_ms": int64(900), "budget_ms": int64(600)},
 		{"request": "b", "backend": "i-2", "status": 500},
@@ -29,7 +29,7 @@
 	} {
 		for name, value := range want {
 			if got := hook.AllEntries()[i].Data[name]; got != value {
-				t.Errorf("record %d: %s is %v, want %v", i, name, got, value)
+				t.Errorf("entry %d: %s is %v, want %v", i, name, got, value)
 			}
 		}
 	}
--- a/internal/gate/run.go
+++ b/internal/gate/run.go
@@ -105,7 +105,8 @@
 	}
 }
 
-// finish gives the final answer immediately.
+// finish ends the request with the saved failure, if any, or else with the refusal, adapted
+// to why the context ended. It aborts a stream that has started.
 func (r *relay) finish(ctx context.Context, refusal Refusal) {
 	if r.stream.started {
 		// The header of an answer has been sent. Only a connection that ends early tells
