--- a/internal/peering/aggregate_deltas.go
+++ b/internal/peering/aggregate_deltas.go
@@ -301,12 +301,12 @@
 	}
 	held := t.aggregates[from]
 	if changes.Base == 0 {
-		whole := newAggregate(now)
+		full := newAggregate(now)
 		if held != nil {
-			whole.paces = held.paces
+			full.paces = held.paces
 		}
-		whole.apply(changes, clock, now)
-		t.aggregates[from] = whole
+		full.apply(changes, clock, now)
+		t.aggregates[from] = full
 		return
 	}
 	if held == nil || held.clock < changes.Base {
--- a/internal/peering/aggregate_deltas_test.go
+++ b/internal/peering/aggregate_deltas_test.go
@@ -59,13 +59,13 @@
 // nextHeartbeat returns the heartbeat of a round.
 func (s *testAggregator) nextHeartbeat(now boottime.Instant) *peeringpb.Beat {
 	s.log.update(s.total, now)
-	beat := &peeringpb.Beat{Address: string(s.self), Zone: "zone1", Incarnation: s.incarnation, Clock: int64(now), Held: &peeringpb.Held{}}
+	heartbeat := &peeringpb.Beat{Address: string(s.self), Zone: "zone1", Incarnation: s.incarnation, Clock: int64(now), Held: &peeringpb.Held{}}
 	for receiver := range s.groupByState([]fleet.Address{self}, &s.log) {
 		encoded := receiver.encode(&s.log, s.total, []fleet.Zone{"zone1"}, false)
-		beat.Sums, beat.SumChanges = encoded.full, encoded.deltas
+		heartbeat.Sums, heartbeat.SumChanges = encoded.full, encoded.deltas
 	}
-	s.sent = append(s.sent, beat)
-	return beat
+	s.sent = append(s.sent, heartbeat)
+	return heartbeat
 }
 
 // restart simulates a restart of the sender's process, which loses its state.
@@ -78,12 +78,12 @@
 // checkAggregate compares the aggregate that a router holds with the sender's.
 func checkAggregate(t *rapid.T, held *aggregate, sender *testAggregator, now boottime.Instant) {
 	if held == nil {
-		t.Fatalf("nothing is held of %s", sender.self)
+		t.Fatalf("no aggregate of %s is held", sender.self)
 	}
 	for engine := range uint32(10) {
 		want, got := sender.total.loads[engine], held.loads[engine]
 		if got.Running != want.Running || math.Abs(got.Pending-want.Pending) > loadTolerance*want.Pending+tokensPerLoadUnit || math.Abs(got.Memory-want.Memory) > loadTolerance*want.Memory+tokensPerLoadUnit {
-			t.Fatalf("%s has %+v at engine %d, %+v is known", sender.self, want, engine, got)
+			t.Fatalf("%s: load %+v at engine %d, receiver holds %+v", sender.self, want, engine, got)
 		}
 	}
 	mean := meanGranted(sender.total.usages)
@@ -95,7 +95,7 @@
 			return math.Abs(got-want) <= usageTolerance*(mean+want)+tokensPerUsageUnit
 		}
 		if !isClose(got.Requested, want.Requested) || !isClose(got.Granted, want.Granted) || !isClose(got.Idle, want.Idle) {
-			t.Fatalf("%s has %+v of %s, %+v is known", sender.self, want, account, got)
+			t.Fatalf("%s: usage %+v of %s, receiver holds %+v", sender.self, want, account, got)
 		}
 	}
 }
@@ -111,26 +111,26 @@
 		round := func(trouble bool) {
 			now = now.Add(heartbeatInterval)
 			happens := func(what string) bool { return trouble && rapid.IntRange(0, 3).Draw(t, what) == 0 }
-			if happens("all stand still") && happens("for long") {
+			if happens("all are suspended") && happens("for a long time") {
 				now = now.Add(fullResendInterval)
 			}
-			if happens("receiver starts again") && happens("indeed") {
+			if happens("receiver restarts") && happens("indeed") {
 				receiver, receiverIncarnation = newTable(self, "zone0"), uint64(now)
 			}
 			for _, sender := range senders {
-				if happens("sender starts again") && happens("indeed") {
+				if happens("sender restarts") && happens("indeed") {
 					sender.restart()
 				}
-				if !happens("beat to sender is lost") {
+				if !happens("heartbeat to sender is lost") {
 					sender.applyHeartbeat(&peeringpb.Beat{Address: self, Zone: "zone0", Incarnation: receiverIncarnation, Clock: int64(now),
 						Held: receiver.heldAggregates([]fleet.Address{sender.self})}, now)
 				}
 				sender.change(t, now)
-				beat := sender.nextHeartbeat(now)
-				if !happens("beat to receiver is lost") {
-					receiver.applyHeartbeat(beat, now)
+				heartbeat := sender.nextHeartbeat(now)
+				if !happens("heartbeat to receiver is lost") {
+					receiver.applyHeartbeat(heartbeat, now)
 				}
-				if happens("an earlier beat comes") {
+				if happens("an earlier heartbeat arrives") {
 					receiver.applyHeartbeat(rapid.SampledFrom(sender.sent).Draw(t, "earlier"), now)
 				}
 				if held := receiver.aggregates[sender.self]; held != nil && held.clock == int64(now) {
@@ -148,12 +148,12 @@
 		}
 		total, covered := receiver.mergeAggregates(now, true, false)
 		if len(covered) != 1 || len(total.loads) > 10 {
-			t.Fatalf("%v are covered, %d loads", covered, len(total.loads))
+			t.Fatalf("zones %v are covered, with %d loads", covered, len(total.loads))
 		}
 		for engine, load := range total.loads {
 			first, second := senders[0].total.loads[engine].Running, senders[1].total.loads[engine].Running
 			if load.Running != first && load.Running != second {
-				t.Fatalf("%d run at engine %d, the senders tell %d and %d", load.Running, engine, first, second)
+				t.Fatalf("%d requests at engine %d, senders reported %d and %d", load.Running, engine, first, second)
 			}
 		}
 	})
@@ -171,11 +171,11 @@
 	zones := []string{"zone1"}
 	take(1, &peeringpb.SumChanges{Zones: zones, Base: 9, LoadStep: []uint32{1}, Running: []uint32{1}, Pending: []uint32{1}, Memory: []uint32{1}})
 	if receiver.aggregates["a"] != nil {
-		t.Error("changes since an unknown beat were taken")
+		t.Error("deltas since an unknown heartbeat were applied")
 	}
 	take(2, &peeringpb.SumChanges{Zones: zones, Backend: []uint32{sharedEngine}, BackendNumber: []uint32{3}, LoadStep: []uint32{3}, Running: []uint32{5}, Pending: []uint32{1}, Memory: []uint32{1}})
 	if held := receiver.aggregates["a"]; held == nil || held.clock != 2 || held.loads[sharedEngine].Running != 5 {
-		t.Fatalf("%+v after a whole", held)
+		t.Fatalf("%+v after a full aggregate", held)
 	}
 	take(3, &peeringpb.SumChanges{Zones: zones, Base: 2, LoadStep: []uint32{4}, Running: []uint32{1, 2}, Pending: []uint32{1}, Memory: []uint32{1}})
 	if held := receiver.aggregates["a"]; held.loads[sharedEngine].Running != 5 || len(receiver.heldAggregates([]fleet.Address{"a"}).Router) != 0 {
@@ -203,12 +203,12 @@
 			resets++
 		}
 		if maxNumbers := perRound*int(minRenumberInterval/heartbeatInterval) + maxUnusedNumbers; len(log.usages) > maxNumbers {
-			t.Fatalf("%d numbers are given, at most %d are due", len(log.usages), maxNumbers)
+			t.Fatalf("%d numbers are assigned, want at most %d", len(log.usages), maxNumbers)
 		}
 		now = now.Add(heartbeatInterval)
 	}
 	if maxResets := rounds*int(heartbeatInterval)/int(minRenumberInterval) + 1; resets > maxResets {
-		t.Errorf("numbers were given anew %d times, want %d at most", resets, maxResets)
+		t.Errorf("numbers were reassigned %d times, want at most %d", resets, maxResets)
 	}
 }
 
@@ -231,7 +231,7 @@
 			old[f.routers[router]] = false
 		}
 		f.run(settleRounds / 2)
-		f.checkUsage("after all became new")
+		f.checkUsage("after all were upgraded")
 	})
 }
 
@@ -245,15 +245,15 @@
 func (l *mixedVersionLink) Send(data []byte, target fleet.Address) {
 	to := l.sim.routers[target]
 	if l.old[l.from] || l.old[to] {
-		var beat peeringpb.Beat
-		if err := proto.Unmarshal(data, &beat); err != nil {
+		var heartbeat peeringpb.Beat
+		if err := proto.Unmarshal(data, &heartbeat); err != nil {
 			l.sim.t.Fatal(err)
 		}
-		if beat.SumChanges != nil && l.old[l.from] {
-			l.sim.t.Fatalf("an old router tells changes")
+		if heartbeat.SumChanges != nil && l.old[l.from] {
+			l.sim.t.Fatalf("a router of the previous version sends deltas")
 		}
-		beat.Held, beat.SumChanges = nil, nil
-		data, _ = proto.Marshal(&beat)
+		heartbeat.Held, heartbeat.SumChanges = nil, nil
+		data, _ = proto.Marshal(&heartbeat)
 	}
 	l.simLink.Send(data, target)
 }
@@ -268,17 +268,17 @@
 	)
 	f, c := startLoadedFleet(t, inTwoYears)
 	received := make(map[*Manager]int)
-	f.onHeartbeat = func(beat *peeringpb.Beat, bytes int, to *Manager) {
-		if carriesAggregate(beat) {
+	f.onHeartbeat = func(heartbeat *peeringpb.Beat, bytes int, to *Manager) {
+		if carriesAggregate(heartbeat) {
 			received[to] += bytes
 		}
 	}
 	own, others := c.measurePropagation(inTwoYears.measured)
 	seconds := float64(inTwoYears.measured) * heartbeatInterval.Seconds()
 	for address, router := range f.routers {
-		sums := router.traffic.bytesSinceLog["sums own"] + router.traffic.bytesSinceLog["sums other"]
-		if sent := float64(sums) / seconds; sent > maxSent {
-			t.Errorf("%s sends %.0f bytes of sums a second", address, sent)
+		sentBytes := router.traffic.bytesSinceLog["sums own"] + router.traffic.bytesSinceLog["sums other"]
+		if perSecond := float64(sentBytes) / seconds; perSecond > maxSent {
+			t.Errorf("%s sends %.0f bytes of aggregates per second", address, perSecond)
 		}
 		if router.isAggregator(f.now) {
 			continue
@@ -288,10 +288,10 @@
 			maxBytes = maxReceivedByStandby
 		}
 		if bytes := float64(received[router]) / seconds; bytes > float64(maxBytes) {
-			t.Errorf("%s hears %.0f bytes of sums a second", address, bytes)
+			t.Errorf("%s receives %.0f bytes of aggregates per second", address, bytes)
 		}
 	}
-	t.Logf("a request is known after %v in its own zone and %v in others, in the middle", own, others)
+	t.Logf("a request is known after a median of %v in its own zone and %v in others", own, others)
 	if own > 500*time.Millisecond || others > time.Second {
 		t.Errorf("a request is known after %v in its own zone and %v in others", own, others)
 	}
--- a/internal/peering/aggregates.go
+++ b/internal/peering/aggregates.go
@@ -40,9 +40,8 @@
 	// deltaBaseTTL is the time for which an expired aggregate is kept so that deltas can
 	// be applied to it.
 	deltaBaseTTL = 10 * time.Second
-	// standbyRounds is the number of rounds per round in which a zone's aggregate also
-	// goes to the standby routers. A standby need only know the senders, not the latest
-	// values.
+	// standbyRounds is the interval, in rounds, at which a zone's aggregate also goes to
+	// the standby routers. A standby need only know the senders, not the latest values.
 	standbyRounds = 5
 	// usualMergeInterval is the interval between two merges of the usual work times of
 	// other zones. They change slowly, and merging thousands of them in each round would
@@ -227,8 +226,8 @@
 }
 
 // isAggregator reports whether this router aggregates its zone: it is the first of the
-// zone's reachable routers, or no heartbeats of those before it have arrived for some
-// turns.
+// zone's reachable routers, or no heartbeats of those before it have arrived for
+// maxMissedTurns cycles.
 func (t *table) isAggregator(now boottime.Instant) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/peering/aggregates_test.go
+++ b/internal/peering/aggregates_test.go
@@ -78,10 +78,10 @@
 	round          int
 	routers        map[fleet.Address]*Manager
 	locals         map[fleet.Address]*fakeLocal
-	drops          func(from, to *Manager) bool                       // whether a heartbeat is lost
-	crossZoneBytes int                                                // sent between zones
-	onData         func(data []byte, to *Manager)                     // called for each heartbeat that arrives, if set
-	onHeartbeat    func(beat *peeringpb.Beat, bytes int, to *Manager) // the same, decoded
+	drops          func(from, to *Manager) bool                            // whether a heartbeat is lost
+	crossZoneBytes int                                                     // sent between zones
+	onData         func(data []byte, to *Manager)                          // called for each heartbeat that arrives, if set
+	onHeartbeat    func(heartbeat *peeringpb.Beat, bytes int, to *Manager) // the same, decoded
 }
 
 // newSimNetwork returns a network with the given number of zones and of routers in each.
@@ -127,15 +127,15 @@
 	from *Manager
 }
 
-func (l *simLink) Send(beat []byte, to fleet.Address) { l.sim.deliver(l.from, beat, to) }
+func (l *simLink) Send(heartbeat []byte, to fleet.Address) { l.sim.deliver(l.from, heartbeat, to) }
 
 func (f *simNetwork) deliver(from *Manager, data []byte, target fleet.Address) {
 	to := f.routers[target]
 	if to == nil || f.drops(from, to) {
 		return
 	}
-	var beat peeringpb.Beat
-	if err := proto.Unmarshal(data, &beat); err != nil {
+	var heartbeat peeringpb.Beat
+	if err := proto.Unmarshal(data, &heartbeat); err != nil {
 		f.t.Fatal(err)
 	}
 	if from.options.Zone != to.options.Zone {
@@ -145,9 +145,9 @@
 		f.onData(data, to)
 	}
 	if f.onHeartbeat != nil {
-		f.onHeartbeat(&beat, len(data), to)
+		f.onHeartbeat(&heartbeat, len(data), to)
 	}
-	to.handleHeartbeat(context.Background(), &beat, f.now)
+	to.handleHeartbeat(context.Background(), &heartbeat, f.now)
 }
 
 // run runs rounds of heartbeats of all routers.
@@ -221,7 +221,7 @@
 		}
 	}
 	f.run(int(minPeerTimeout/heartbeatInterval) + maxMissedTurns)
-	f.checkUsage("after the loss of a summing router")
+	f.checkUsage("after the loss of an aggregator")
 }
 
 // Whichever heartbeats are lost, no usage may count twice, and all usage must be known
@@ -283,7 +283,7 @@
 	f.crossZoneBytes = 0
 	f.run(int(time.Second / heartbeatInterval))
 	if f.crossZoneBytes > maxBytes {
-		t.Errorf("%d bytes a second between zones", f.crossZoneBytes)
+		t.Errorf("%d bytes per second between zones", f.crossZoneBytes)
 	}
 }
 
@@ -297,7 +297,7 @@
 			total += router.traffic.bytesSinceLog[what]
 		}
 		if total == 0 {
-			t.Errorf("nothing is counted of %s", what)
+			t.Errorf("no bytes are counted for %s", what)
 		}
 	}
 }
@@ -313,7 +313,7 @@
 	f.run(fingerprintRepeats * roundsPerCycle(70, maxUrgentRemoteHeartbeats))
 	for address, local := range f.locals {
 		if address != "10.0.2.3:1" && !slices.Contains(local.receivedFingerprints, fingerprint) {
-			t.Errorf("%s was not told", address)
+			t.Errorf("%s did not receive the fingerprint", address)
 		}
 	}
 }
@@ -326,10 +326,10 @@
 	now := boottime.Now()
 	puller.crossZoneDelay = maxCrossZoneDelay / 2
 	if puller.delayElapsed(now) || puller.delayElapsed(now.Add(maxCrossZoneDelay/4)) {
-		t.Error("a router does not wait for its neighbours to know")
+		t.Error("a router does not wait for its neighbours")
 	}
 	if !puller.delayElapsed(now.Add(maxCrossZoneDelay / 2)) {
-		t.Error("a router waits for its neighbours for longer than its part")
+		t.Error("a router waits for its neighbours longer than its delay")
 	}
 	if puller.delayElapsed(now.Add(3 * maxCrossZoneDelay)) {
 		t.Error("a router does not wait at the next change")
--- a/internal/peering/control_bench_test.go
+++ b/internal/peering/control_bench_test.go
@@ -125,9 +125,9 @@
 			now := boottime.Now()
 			table := newTable(self, "")
 			for i := range size.routers {
-				beat := newHeartbeat(fmt.Sprint("router ", i), 1, 1)
-				beat.Paces, beat.Slowed = splitPaces(fakeEnginePaces(size.engines, false, now), now).encode(true, now)
-				table.applyHeartbeat(beat, now)
+				heartbeat := newHeartbeat(fmt.Sprint("router ", i), 1, 1)
+				heartbeat.Paces, heartbeat.Slowed = splitPaces(fakeEnginePaces(size.engines, false, now), now).encode(true, now)
+				table.applyHeartbeat(heartbeat, now)
 			}
 			for b.Loop() {
 				table.Paces(now)
@@ -149,12 +149,12 @@
 			router.sendRound(round, f.now)
 		}
 		for _, data := range received {
-			var beat peeringpb.Beat
-			if err := proto.Unmarshal(data, &beat); err != nil {
+			var heartbeat peeringpb.Beat
+			if err := proto.Unmarshal(data, &heartbeat); err != nil {
 				b.Fatal(err)
 			}
-			beat.Clock = int64(f.now)
-			router.handleHeartbeat(b.Context(), &beat, f.now)
+			heartbeat.Clock = int64(f.now)
+			router.handleHeartbeat(b.Context(), &heartbeat, f.now)
 		}
 	}
 	receivedBytes := 0
@@ -173,4 +173,4 @@
 	bytes int
 }
 
-func (l *countingLink) Send(beat []byte, _ fleet.Address) { l.bytes += len(beat) }
+func (l *countingLink) Send(heartbeat []byte, _ fleet.Address) { l.bytes += len(heartbeat) }
--- a/internal/peering/encode.go
+++ b/internal/peering/encode.go
@@ -80,9 +80,9 @@
 
 // echoedClock returns the newest clock of the router that the heartbeat's sender has
 // received, 0 if the heartbeat does not echo it.
-func echoedClock(beat *peeringpb.Beat, router fleet.Address) int64 {
+func echoedClock(heartbeat *peeringpb.Beat, router fleet.Address) int64 {
 	hash := addressHash(router)
-	routers, clocks := beat.Echoes.GetRouter(), beat.Echoes.GetClock()
+	routers, clocks := heartbeat.Echoes.GetRouter(), heartbeat.Echoes.GetClock()
 	for i := range min(len(routers), len(clocks)) {
 		if routers[i] == hash {
 			return clocks[i]
--- a/internal/peering/evacuations_test.go
+++ b/internal/peering/evacuations_test.go
@@ -23,19 +23,19 @@
 	}
 	send()
 	if receiver.View().Evacuations.ConfirmedAt != 0 {
-		t.Error("a router that knows nothing confirmed something")
+		t.Error("evacuations were confirmed by a router without state")
 	}
 	sender.SetEvacuations([]fleet.Zone{"b", "a"}, knowledge.Position{Revision: 4}, now)
 	send()
 	known := receiver.View().Evacuations
 	if !slices.Equal(known.Zones, []fleet.Zone{"a", "b"}) || known.ConfirmedAt == 0 || known.ConfirmedAt > now {
-		t.Errorf("heard %+v", known)
+		t.Errorf("received %+v", known)
 	}
 	sender.SetEvacuations([]fleet.Zone{"b"}, knowledge.Position{Revision: 5}, boottime.Now())
 	send()
 	known = receiver.View().Evacuations
 	if !slices.Equal(known.Zones, []fleet.Zone{"b"}) || known.ReturnedAt["a"] == 0 {
-		t.Errorf("heard %+v after a zone was taken back", known)
+		t.Errorf("received %+v after a zone was taken back", known)
 	}
 }
 
--- a/internal/peering/manager.go
+++ b/internal/peering/manager.go
@@ -124,56 +124,56 @@
 func (m *Manager) receiver() Receiver {
 	return Receiver{
 		Heartbeat: func(ctx context.Context, data []byte) {
-			var beat peeringpb.Beat
-			if err := proto.Unmarshal(data, &beat); err != nil {
+			var heartbeat peeringpb.Beat
+			if err := proto.Unmarshal(data, &heartbeat); err != nil {
 				return // not a heartbeat
 			}
-			m.handleHeartbeat(ctx, &beat, boottime.Now())
+			m.handleHeartbeat(ctx, &heartbeat, boottime.Now())
 		},
 		Knowledge: &server{state: m.options.State},
 		Operation: &operation{manager: m},
 	}
 }
 
-func (m *Manager) handleHeartbeat(ctx context.Context, beat *peeringpb.Beat, now boottime.Instant) {
-	accepted, joined := m.applyHeartbeat(beat, now)
+func (m *Manager) handleHeartbeat(ctx context.Context, heartbeat *peeringpb.Beat, now boottime.Instant) {
+	accepted, joined := m.applyHeartbeat(heartbeat, now)
 	if !accepted {
 		return
 	}
-	router := fleet.Address(beat.Address)
+	router := fleet.Address(heartbeat.Address)
 	if joined {
 		m.peerLog.addReachable(router)
 	}
-	for _, address := range beat.Routers {
+	for _, address := range heartbeat.Routers {
 		m.add(fleet.Address(address), zoneUnknown, now)
 	}
 	m.local.SetUsages(router, m.usagesOf(router))
-	if beat.Sums != nil || beat.SumChanges != nil {
+	if heartbeat.Sums != nil || heartbeat.SumChanges != nil {
 		m.local.SetUsages(otherZones, m.refreshOtherZones(now))
 	}
-	for _, fingerprint := range beat.Broken {
+	for _, fingerprint := range heartbeat.Broken {
 		m.local.ReceiveCrashFingerprint(router, fingerprint)
 	}
-	m.applyConfirmations(beat, now)
-	m.puller.pullIfNewer(ctx, router, beat, m.aloneInZone, now)
+	m.applyConfirmations(heartbeat, now)
+	m.puller.pullIfNewer(ctx, router, heartbeat, m.aloneInZone, now)
 }
 
 // applyConfirmations updates the age of the state that both routers hold. The peer sent
 // the heartbeat after this router's clock showed the echoed value, so ages count from
 // there: the heartbeat may have waited in the socket while this process was suspended.
-func (m *Manager) applyConfirmations(beat *peeringpb.Beat, now boottime.Instant) {
-	echo := boottime.Instant(echoedClock(beat, m.options.Address))
+func (m *Manager) applyConfirmations(heartbeat *peeringpb.Beat, now boottime.Instant) {
+	echo := boottime.Instant(echoedClock(heartbeat, m.options.Address))
 	if echo < m.started || echo > now {
 		echo = 0
 	}
-	applyEvacuations(m.options.State, beat.Evacuations, echo, now)
+	applyEvacuations(m.options.State, heartbeat.Evacuations, echo, now)
 	if echo == 0 {
 		return
 	}
-	if beat.ConfigAge >= 0 {
-		m.options.State.ConfirmConfiguration(beat.Version, echo.Add(-time.Duration(beat.ConfigAge)))
+	if heartbeat.ConfigAge >= 0 {
+		m.options.State.ConfirmConfiguration(heartbeat.Version, echo.Add(-time.Duration(heartbeat.ConfigAge)))
 	}
-	if beat.ListAge >= 0 {
-		m.options.State.ConfirmBackends(beat.Digest, echo.Add(-time.Duration(beat.ListAge)))
+	if heartbeat.ListAge >= 0 {
+		m.options.State.ConfirmBackends(heartbeat.Digest, echo.Add(-time.Duration(heartbeat.ListAge)))
 	}
 }
--- a/internal/peering/network.go
+++ b/internal/peering/network.go
@@ -20,14 +20,14 @@
 	Serve(ctx context.Context, router Receiver) error
 	// Send sends a heartbeat to another router. Delivery is not guaranteed; an
 	// unreachable router is detected by its missing heartbeats.
-	Send(beat []byte, to fleet.Address)
+	Send(heartbeat []byte, to fleet.Address)
 	// Pull requests the fleet state that another router holds.
 	Pull(ctx context.Context, router fleet.Address, request *peeringpb.PullRequest) (*peeringpb.PullReply, error)
 }
 
 // Receiver handles the messages and calls that arrive at a router.
 type Receiver struct {
-	Heartbeat func(ctx context.Context, beat []byte)
+	Heartbeat func(ctx context.Context, heartbeat []byte)
 	Knowledge peeringpb.Knowledge
 	Operation peeringpb.Operation
 }
@@ -74,7 +74,7 @@
 }
 
 // receive handles heartbeats until the socket is closed.
-func (s *sockets) receive(ctx context.Context, handle func(ctx context.Context, beat []byte)) error {
+func (s *sockets) receive(ctx context.Context, handle func(ctx context.Context, heartbeat []byte)) error {
 	buffer := make([]byte, maxHeartbeatSize)
 	for {
 		n, _, err := s.socket.ReadFromUDPAddrPort(buffer)
@@ -92,12 +92,12 @@
 }
 
 // Send implements Network.
-func (s *sockets) Send(beat []byte, to fleet.Address) {
+func (s *sockets) Send(heartbeat []byte, to fleet.Address) {
 	address, err := netip.ParseAddrPort(string(to))
 	if err != nil {
 		return // invalid address in the directory
 	}
-	_, _ = s.socket.WriteToUDPAddrPort(beat, address)
+	_, _ = s.socket.WriteToUDPAddrPort(heartbeat, address)
 }
 
 // Pull implements Network.
--- a/internal/peering/paces.go
+++ b/internal/peering/paces.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// cyclesPerPaces is the number of cycles per cycle that carries paces. In a cycle
-	// every target is sent to once. Paces change slowly.
+	// cyclesPerPaces is the interval, in cycles, at which a cycle carries paces. In a
+	// cycle every target is sent to once. Paces change slowly.
 	cyclesPerPaces = 20
 	// maxPaceRounds bounds the number of rounds between cycles with paces. In zones with
 	// hundreds of routers a cycle takes a second or more, and paces must be sent again
@@ -25,7 +25,7 @@
 )
 
 // paces are the reported speeds of backend servers, by the hashes of their incarnations.
-// The two fields are sent at different intervals.
+// usual and slowed are sent at different intervals.
 type paces struct {
 	usual   map[uint32]pace.Observation // everything but the newest work times
 	usualAt boottime.Instant            // the time as of which usual is
--- a/internal/peering/paces_test.go
+++ b/internal/peering/paces_test.go
@@ -46,20 +46,20 @@
 		own := splitPaces(seen, now)
 		arrived := decodePaces(encodePaces(own.usual), encodeSlowed(own, now), now)
 		if len(arrived.usual) != len(seen) {
-			t.Fatalf("%d of %d servers arrive", len(arrived.usual), len(seen))
+			t.Fatalf("%d of %d servers are decoded", len(arrived.usual), len(seen))
 		}
 		for server, sent := range seen {
 			got := arrived.usual[server]
 			if math.Abs(got.Usual-sent.Usual) > 0.0051 || math.Abs(got.ReadTokens-sent.ReadTokens) > tokensPerLoadUnit ||
 				math.Abs(got.ReadSeconds-sent.ReadSeconds) > 0.001 || math.Abs(got.Streams-sent.Streams) > 0.1 || math.Abs(got.Late-sent.Late) > 0.1 {
-				t.Fatalf("%+v arrives as %+v", sent, got)
+				t.Fatalf("%+v is decoded as %+v", sent, got)
 			}
 			newest, reported := arrived.slowed[server]
 			if reported != sent.Slowed(now) {
-				t.Fatalf("%+v is told as slowed: %t", sent, reported)
+				t.Fatalf("%+v is reported as slowed: %t", sent, reported)
 			}
 			if reported && (math.Abs(newest.Now-sent.Now) > 0.0051 || newest.NowAt.Sub(sent.NowAt).Abs() > time.Millisecond) {
-				t.Fatalf("%+v arrives as %+v", sent, newest)
+				t.Fatalf("%+v is decoded as %+v", sent, newest)
 			}
 		}
 	})
@@ -143,9 +143,9 @@
 
 // heartbeatWithPaces returns a heartbeat of router a with its observations.
 func heartbeatWithPaces(incarnation uint64, clock int64, observed map[uint32]pace.Observation, now boottime.Instant) *peeringpb.Beat {
-	beat := newHeartbeat("a", incarnation, clock)
-	beat.Paces, beat.Slowed = splitPaces(observed, now).encode(observed != nil, now)
-	return beat
+	heartbeat := newHeartbeat("a", incarnation, clock)
+	heartbeat.Paces, heartbeat.Slowed = splitPaces(observed, now).encode(observed != nil, now)
+	return heartbeat
 }
 
 // Guards against paces that outlive the router that reported them, and against ones that
@@ -155,23 +155,23 @@
 	table := newTable(self, "")
 	table.applyHeartbeat(heartbeatWithPaces(1, 1, observedPaces(now, 1.37), now), now)
 	if got := table.Paces(now)[sharedEngine]; got.Usual != 0.55 || got.Current(now) != 1.37 {
-		t.Errorf("%+v is told", got)
+		t.Errorf("paces %+v after the first heartbeat", got)
 	}
 	table.applyHeartbeat(heartbeatWithPaces(1, 2, nil, now), now)
 	if got := table.Paces(now)[sharedEngine]; got.Usual != 0.55 || got.Current(now) != 0 {
-		t.Errorf("%+v after a beat without paces", got)
+		t.Errorf("paces %+v after a heartbeat without paces", got)
 	}
 	table.applyHeartbeat(heartbeatWithPaces(1, 1, observedPaces(now, 1.37), now), now) // out of order
 	if got := table.Paces(now)[sharedEngine]; got.Current(now) != 0 {
-		t.Errorf("%+v after a late beat", got)
+		t.Errorf("paces %+v after an out-of-order heartbeat", got)
 	}
 	later := now.Add(minPeerTimeout)
 	if got := table.Paces(later); got != nil {
-		t.Errorf("%+v of a router that is not heard", got)
+		t.Errorf("paces %+v of an unreachable router", got)
 	}
 	table.applyHeartbeat(heartbeatWithPaces(2, 1, nil, now), now)
 	if got := table.Paces(now); got != nil {
-		t.Errorf("%+v of a router that has started again", got)
+		t.Errorf("paces %+v of a router that has restarted", got)
 	}
 }
 
@@ -186,7 +186,7 @@
 		table.applyHeartbeat(heartbeatWithPaces(1, clock, nil, now), now)
 	}
 	if got := table.Paces(now); got != nil {
-		t.Errorf("%+v after %v", got, pace.MaxAge)
+		t.Errorf("paces %+v after %v", got, pace.MaxAge)
 	}
 }
 
@@ -195,22 +195,22 @@
 	f := newSimNetwork(t, 3, 8)
 	heartbeats := 0
 	f.onData = func(data []byte, _ *Manager) {
-		var beat peeringpb.Beat
-		if err := proto.Unmarshal(data, &beat); err != nil {
+		var heartbeat peeringpb.Beat
+		if err := proto.Unmarshal(data, &heartbeat); err != nil {
 			t.Fatal(err)
 		}
-		beat.Paces, beat.Slowed = nil, nil
-		if beat.Sums != nil {
-			beat.Sums.Paces, beat.Sums.Slowed = nil, nil
+		heartbeat.Paces, heartbeat.Slowed = nil, nil
+		if heartbeat.Sums != nil {
+			heartbeat.Sums.Paces, heartbeat.Sums.Slowed = nil, nil
 		}
-		if size := proto.Size(&beat); size != len(data) {
+		if size := proto.Size(&heartbeat); size != len(data) {
 			t.Fatalf("%d bytes, %d without paces", len(data), size)
 		}
 		heartbeats++
 	}
 	f.run(settleRounds)
 	if heartbeats == 0 {
-		t.Error("no beat arrived")
+		t.Error("no heartbeat arrived")
 	}
 }
 
@@ -281,7 +281,7 @@
 		table.mu.Unlock()
 	}
 	if blocked > attempts/2 {
-		t.Errorf("the table was locked at %d of %d looks", blocked, attempts)
+		t.Errorf("the table was locked at %d of %d attempts", blocked, attempts)
 	}
 }
 
@@ -299,14 +299,14 @@
 		return table.Paces(at)[server].Usual
 	}
 	for _, step := range []struct {
-		after       time.Duration
-		tells, want float64
+		after          time.Duration
+		reported, want float64
 	}{
 		{0, 2, 2},
 		{heartbeatInterval, 3, 2},
 		{usualMergeInterval, 3, 3},
 	} {
-		if got := report(step.tells, now.Add(step.after)); got != step.want {
+		if got := report(step.reported, now.Add(step.after)); got != step.want {
 			t.Errorf("after %v: %v, want %v", step.after, got, step.want)
 		}
 	}
@@ -328,7 +328,7 @@
 			last = round
 		}
 		if gap := time.Duration(longest) * heartbeatInterval; longest == 0 || gap > pace.MaxAge*3/4 {
-			t.Errorf("%d turns: told every %v, counts for %v", turns, gap, pace.MaxAge)
+			t.Errorf("%d turns: sent every %v, expires after %v", turns, gap, pace.MaxAge)
 		}
 	}
 }
--- a/internal/peering/peer_log_test.go
+++ b/internal/peering/peer_log_test.go
@@ -30,6 +30,6 @@
 	records.log(now.Add(time.Minute))
 	lines := strings.Count(logs.String(), "\n")
 	if lines > 5 || !strings.Contains(logs.String(), "routers unreachable") || !strings.Contains(logs.String(), "count=119") {
-		t.Errorf("%d records: %s", lines, logs.String())
+		t.Errorf("%d entries: %s", lines, logs.String())
 	}
 }
--- a/internal/peering/peering_test.go
+++ b/internal/peering/peering_test.go
@@ -63,12 +63,12 @@
 		for backend, load := range loads {
 			got := arrived[backend]
 			if got.Running != load.Running || got.Pending < load.Pending || got.Pending-load.Pending > tokensPerLoadUnit || got.Memory < load.Memory {
-				t.Fatalf("%+v arrives as %+v", load, got)
+				t.Fatalf("%+v is decoded as %+v", load, got)
 			}
 		}
 		for account, usage := range usages {
 			if got := decodeUsages(encodeUsages(usages))[account]; usage.Requested-got.Requested >= 1 || usage.Granted-got.Granted >= 1 || usage.Idle-got.Idle >= 1 {
-				t.Fatalf("%+v arrives as %+v", usage, got)
+				t.Fatalf("%+v is decoded as %+v", usage, got)
 			}
 		}
 	})
@@ -79,9 +79,9 @@
 func TestListsOfDifferentLengthsAreTruncated(t *testing.T) {
 	loads := decodeLoads(&peeringpb.Loads{Backend: []uint32{1, 2}, Running: []uint32{1}, Pending: []uint32{1, 1}, Memory: []uint32{1}})
 	usages := decodeUsages(&peeringpb.AccountUses{Account: []string{"a", "b"}, Asked: []uint64{1, 2}})
-	beat := &peeringpb.Beat{Echoes: &peeringpb.Echoes{Router: []uint64{addressHash(self)}}}
-	if len(loads) != 1 || len(usages) != 0 || echoedClock(beat, self) != 0 {
-		t.Errorf("%v, %v, echo %d", loads, usages, echoedClock(beat, self))
+	heartbeat := &peeringpb.Beat{Echoes: &peeringpb.Echoes{Router: []uint64{addressHash(self)}}}
+	if len(loads) != 1 || len(usages) != 0 || echoedClock(heartbeat, self) != 0 {
+		t.Errorf("loads %v, usages %v, echo %d", loads, usages, echoedClock(heartbeat, self))
 	}
 }
 
@@ -115,10 +115,10 @@
 			own := splitPaces(seen, now)
 			size := 0
 			for b.Loop() {
-				beat := &peeringpb.Beat{Address: self, Incarnation: 1 << 60, Clock: int64(now), Version: 7, Digest: 1 << 60,
+				heartbeat := &peeringpb.Beat{Address: self, Incarnation: 1 << 60, Clock: int64(now), Version: 7, Digest: 1 << 60,
 					Echoes: echoes, Uses: encodeUsages(usages), Loads: encodeLoads(loads)}
-				beat.Paces, beat.Slowed = own.encode(variant.due, now)
-				data, err := proto.Marshal(beat)
+				heartbeat.Paces, heartbeat.Slowed = own.encode(variant.due, now)
+				data, err := proto.Marshal(heartbeat)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -149,11 +149,11 @@
 	table.applyHeartbeat(newHeartbeat("a", 1, 1, loadOfBackend("i", 3, 96)), now)
 	table.applyHeartbeat(newHeartbeat("b", 1, 1, loadOfBackend("i", 2, 48)), now)
 	if got := table.Load(knowledge.IncarnationHash("i")); got.Running != 5 || got.Pending != 144 {
-		t.Errorf("%+v of two routers", got)
+		t.Errorf("load %+v of two routers", got)
 	}
 	table.applyHeartbeat(newHeartbeat("a", 1, 2, loadOfBackend("j", 1, 1)), now)
 	if got := table.Load(knowledge.IncarnationHash("i")); got.Running != 2 || got.Pending != 48 {
-		t.Errorf("%+v after one has none", got)
+		t.Errorf("load %+v after one router has none", got)
 	}
 }
 
@@ -163,11 +163,11 @@
 	table.applyHeartbeat(newHeartbeat("a", 2, 10, loadOfBackend("i", 3, 0)), now)
 	for _, late := range []*peeringpb.Beat{newHeartbeat("a", 2, 9), newHeartbeat("a", 1, 99), newHeartbeat(self, 1, 1)} {
 		if taken, _ := table.applyHeartbeat(late, now); taken {
-			t.Errorf("%v was taken", late)
+			t.Errorf("%v was accepted", late)
 		}
 	}
 	if got := table.Load(knowledge.IncarnationHash("i")).Running; got != 3 {
-		t.Errorf("%d running", got)
+		t.Errorf("%d requests running, want 3", got)
 	}
 }
 
@@ -178,13 +178,13 @@
 	table := newTable(self, "")
 	table.applyHeartbeat(newHeartbeat("a", 1, 1, loadOfBackend("i", 3, 100)), now)
 	if lost := table.expire(now.Add(minPeerTimeout / 2)); len(lost) != 0 {
-		t.Fatalf("lost too early: %v", lost)
+		t.Fatalf("expired too early: %v", lost)
 	}
 	if lost := table.expire(now.Add(minPeerTimeout)); len(lost) != 1 {
-		t.Fatalf("lost: %v", lost)
+		t.Fatalf("expired routers: %v, want one", lost)
 	}
 	if got := table.Load(knowledge.IncarnationHash("i")); got.Running != 0 {
-		t.Errorf("%+v is left of it", got)
+		t.Errorf("load %+v of an expired router", got)
 	}
 }
 
@@ -202,7 +202,7 @@
 	}
 	table.expire(now.Add(2 * routerCountTTL))
 	if got := table.Routers(); got != 1 {
-		t.Errorf("%d routers long after the others went, want 1", got)
+		t.Errorf("%d routers long after the others became unreachable, want 1", got)
 	}
 }
 
@@ -221,16 +221,16 @@
 		t.Errorf("confirmed %v ago, want %v", now.Sub(got), now.Sub(want))
 	}
 	before := state.View().ConfigurationConfirmedAt
-	for _, beat := range []*peeringpb.Beat{
+	for _, heartbeat := range []*peeringpb.Beat{
 		{Echoes: newEchoes(0), Version: 3, ConfigAge: 0, ListAge: -1},
 		{Echoes: newEchoes(int64(now.Add(time.Hour))), Version: 3, ConfigAge: 0, ListAge: -1},
 		{Echoes: newEchoes(int64(old.Add(-time.Hour))), Version: 3, ConfigAge: 0, ListAge: -1},
 		{Echoes: newEchoes(int64(now)), Version: 2, ConfigAge: 0, ListAge: -1},
 		{Echoes: newEchoes(int64(now)), Version: 3, ConfigAge: -1, ListAge: -1},
 	} {
-		manager.applyConfirmations(beat, now)
+		manager.applyConfirmations(heartbeat, now)
 		if got := state.View().ConfigurationConfirmedAt; got != before {
-			t.Errorf("%v confirmed the configuration", beat)
+			t.Errorf("%v confirmed the configuration", heartbeat)
 		}
 	}
 }
@@ -246,7 +246,7 @@
 	before, known := table.Order(77)
 	table.expire(now.Add(time.Minute))
 	if after, left := table.Order(77); known != 10 || left != known || after != before {
-		t.Errorf("place %d of %d, then %d of %d", before, known, after, left)
+		t.Errorf("rank %d of %d, then %d of %d", before, known, after, left)
 	}
 }
 
@@ -272,11 +272,11 @@
 			}
 		}
 		if len(places) != len(addresses) {
-			t.Fatalf("key %d: places %v", key, places)
+			t.Fatalf("key %d: ranks %v", key, places)
 		}
 	}
 	if len(firsts) < len(addresses)/2 {
-		t.Errorf("only %v are ever first", firsts)
+		t.Errorf("only %v are first for any key", firsts)
 	}
 }
 
@@ -286,15 +286,15 @@
 	manager := NewManager(Options{Address: self, State: knowledge.NewState(), Logger: logrus.New()})
 	manager.applyHeartbeat(newHeartbeat("10.0.0.2:1", 1, 1), boottime.Now())
 	if manager.Settled() {
-		t.Error("settled at its start")
+		t.Error("settled immediately after the start")
 	}
 	manager.started = boottime.Now().Add(-settlePeriod)
 	if !manager.Settled() {
-		t.Error("not settled though it hears another router")
+		t.Error("not settled although another router is reachable")
 	}
 	manager.expire(boottime.Now().Add(time.Minute))
 	if manager.Settled() {
-		t.Error("settled though it hears nobody and has not seen the directory")
+		t.Error("settled without reachable routers and without the directory")
 	}
 	manager.directoryRead.Store(true)
 	if !manager.Settled() {
@@ -306,13 +306,13 @@
 	now := boottime.Now()
 	table := newTable(self, "")
 	if table.add(self, "", now) || !table.add("a", "", now) || table.add("a", "", now) {
-		t.Error("addresses are added wrongly")
+		t.Error("wrong result of adding an address")
 	}
 	if got := len(table.targets(now)); got != 1 {
 		t.Errorf("%d targets", got)
 	}
 	if got := len(table.targets(now.Add(2 * addressTTL))); got != 0 {
-		t.Errorf("%d targets after a long silence", got)
+		t.Errorf("%d targets after a long time without heartbeats", got)
 	}
 }
 
@@ -334,7 +334,7 @@
 	for round := range turns {
 		chosen := targetsOfRound(targets, round, maxRemoteHeartbeats)
 		if len(chosen) > maxRemoteHeartbeats {
-			t.Fatalf("%d beats in a round", len(chosen))
+			t.Fatalf("%d heartbeats in a round", len(chosen))
 		}
 		for _, address := range chosen {
 			reached[address]++
@@ -345,7 +345,7 @@
 	}
 	later := now.Add(time.Duration(2*turns) * heartbeatInterval)
 	if lost := table.expire(later); len(lost) != 0 {
-		t.Errorf("%d routers are lost after two missed beats", len(lost))
+		t.Errorf("%d routers expired after two missed heartbeats", len(lost))
 	}
 }
 
@@ -375,16 +375,16 @@
 	}
 	for _, alone := range tables {
 		if !alone.WatchesStore() {
-			t.Fatal("a router that hears nobody does not follow")
+			t.Fatal("a router without reachable peers does not watch the store")
 		}
 	}
 	watching := connect(tables)
 	if len(watching) != maxWatchers {
-		t.Fatalf("%d of %d routers follow, want %d", len(watching), fleetSize, maxWatchers)
+		t.Fatalf("%d of %d routers watch the store, want %d", len(watching), fleetSize, maxWatchers)
 	}
 	remaining := slices.DeleteFunc(slices.Clone(tables), func(t *table) bool { return slices.Contains(watching, t) })
 	if next := connect(remaining); len(next) != maxWatchers {
-		t.Errorf("%d follow after the loss of those that did, want %d", len(next), maxWatchers)
+		t.Errorf("%d routers watch the store after the loss of those that did, want %d", len(next), maxWatchers)
 	}
 }
 
@@ -396,17 +396,17 @@
 	table.applyHeartbeat(newHeartbeat("alive", 1, 1), now)
 	entries := []fleet.Address{self, "alive", "gone"}
 	if got := table.expiredEntries(entries, now); len(got) != 0 {
-		t.Errorf("%v may go at once", got)
+		t.Errorf("%v expired immediately", got)
 	}
 	if got := table.expiredEntries(entries, now.Add(directoryEntryTTL/2)); len(got) != 0 {
-		t.Errorf("%v may go early", got)
+		t.Errorf("%v expired too early", got)
 	}
 	if got := table.expiredEntries(entries, now.Add(directoryEntryTTL+time.Second)); !slices.Equal(got, []fleet.Address{"gone"}) {
-		t.Errorf("%v may go, want the one that is gone", got)
+		t.Errorf("%v expired, want only the unreachable router", got)
 	}
 	table.applyHeartbeat(newHeartbeat("gone", 1, 1), now)
 	if got := table.expiredEntries(entries, now.Add(2*directoryEntryTTL)); len(got) != 0 {
-		t.Errorf("%v may go though it is heard again", got)
+		t.Errorf("%v expired although it is reachable again", got)
 	}
 }
 
@@ -433,7 +433,7 @@
 	manager := NewManager(Options{Address: self, Zone: "z", Directory: directory, State: knowledge.NewState(), Logger: logrus.New()})
 	missing := manager.applyDirectory(t.Context(), directory.listed, 2)
 	if missing != 0 {
-		t.Errorf("%d lists lack a router that is listed", missing)
+		t.Errorf("%d missing lists counted for a listed router", missing)
 	}
 	for range registerAfterMissing {
 		missing = manager.applyDirectory(t.Context(), nil, missing)
@@ -479,7 +479,7 @@
 		t.Fatal(err)
 	}
 	if age := boottime.Now().Sub(pulling.View().ListConfirmedAt); age > 500*time.Millisecond {
-		t.Errorf("the list counts as %v old", age)
+		t.Errorf("the age of the list is %v", age)
 	}
 	reply, err = (&server{state: source}).Pull(t.Context(), &peeringpb.PullRequest{Version: 1, Revision: 6})
 	if err != nil || len(reply.Backends) == 0 {
@@ -508,11 +508,11 @@
 	list("a")
 	first := pull()
 	if again := pull(); &again[0] != &first[0] {
-		t.Error("the list is encoded for each that asks")
+		t.Error("the list is encoded again for each caller")
 	}
 	list("a", "b")
 	if changed := pull(); len(changed) <= len(first) {
-		t.Errorf("%s after a change", changed)
+		t.Errorf("list %s after a change", changed)
 	}
 }
 
@@ -539,7 +539,7 @@
 		t.Errorf("version %d, %d backend servers, listed %v", view.Version(), len(view.Backends), view.ListConfirmedAt)
 	}
 	if _, err := (&server{state: knowledge.NewState()}).Pull(t.Context(), &peeringpb.PullRequest{}); err == nil {
-		t.Error("a router that knows nothing answers")
+		t.Error("a router without state returned a reply")
 	}
 }
 
@@ -561,14 +561,14 @@
 	draining := backends[7]
 	draining.Draining, draining.Position = true, at
 	source.ApplyBackendChanges([]knowledge.BackendChange{{ID: draining.ID, Entry: &draining}, {ID: "i-9"}}, at)
-	beat := &peeringpb.Beat{Version: 1, Revision: at.Revision, Digest: source.View().Digest}
-	if !hasNewerList(pulling.View(), beat) {
-		t.Fatal("a router is not behind")
+	heartbeat := &peeringpb.Beat{Version: 1, Revision: at.Revision, Digest: source.View().Digest}
+	if !hasNewerList(pulling.View(), heartbeat) {
+		t.Fatal("the list of the source does not count as newer")
 	}
 	puller := newQuietPuller(pulling)
 	reply := pullOnce(t, puller, source)
 	if size := proto.Size(reply); size > maxReplyBytes || len(reply.Backends) > 0 {
-		t.Errorf("one change of %d backend servers takes %d bytes, want %d at most", servers, size, maxReplyBytes)
+		t.Errorf("one change of %d backend servers takes %d bytes, want at most %d", servers, size, maxReplyBytes)
 	}
 	view := pulling.View()
 	if view.Digest != source.View().Digest || view.Position != at || !view.Backends["i-7"].Draining || view.Backends["i-9"] != nil {
@@ -609,7 +609,7 @@
 		pullOnce(t, puller, source)
 	}
 	if view := pulling.View(); view.Digest != source.View().Digest || puller.needsFullList.Load() {
-		t.Errorf("%d backend servers are known, want 2", len(view.Backends))
+		t.Errorf("%d backend servers after the pulls, want 2", len(view.Backends))
 	}
 }
 
@@ -626,6 +626,6 @@
 		t.Fatal(err)
 	}
 	if view := state.View(); len(view.Backends) != 1 || view.Backends["i"] == nil {
-		t.Errorf("known: %v", view.Backends)
+		t.Errorf("backend servers: %v, want only i", view.Backends)
 	}
 }
--- a/internal/peering/pull.go
+++ b/internal/peering/pull.go
@@ -64,15 +64,15 @@
 
 // pullIfNewer pulls the fleet state of the heartbeat's sender if it is newer. alone
 // reports whether no other router of this zone is reachable.
-func (p *puller) pullIfNewer(ctx context.Context, router fleet.Address, beat *peeringpb.Beat, alone func(now boottime.Instant) bool, now boottime.Instant) {
+func (p *puller) pullIfNewer(ctx context.Context, router fleet.Address, heartbeat *peeringpb.Beat, alone func(now boottime.Instant) bool, now boottime.Instant) {
 	view := p.state.View()
-	newer := beat.Version > view.Version() || hasNewerList(view, beat)
-	own := now.Sub(view.ListConfirmedAt)
-	fresher := beat.ListAge >= 0 && own > staleListAge && own-time.Duration(beat.ListAge) > minListAgeGain
+	newer := heartbeat.Version > view.Version() || hasNewerList(view, heartbeat)
+	ownAge := now.Sub(view.ListConfirmedAt)
+	fresher := heartbeat.ListAge >= 0 && ownAge > staleListAge && ownAge-time.Duration(heartbeat.ListAge) > minListAgeGain
 	if !newer && !fresher {
 		return
 	}
-	immediate := !view.Ready() || fleet.Zone(beat.Zone) == p.zone || alone(now)
+	immediate := !view.Ready() || fleet.Zone(heartbeat.Zone) == p.zone || alone(now)
 	if !immediate && !p.delayElapsed(now) {
 		return
 	}
@@ -89,11 +89,11 @@
 // hasNewerList reports whether the heartbeat's sender has a different and newer list. A
 // list of a newer era is pulled once even if it is identical: this router must learn that
 // the store was restored from an older copy, which revisions alone cannot show.
-func hasNewerList(view *knowledge.View, beat *peeringpb.Beat) bool {
-	if beat.Era > view.Position.Era {
+func hasNewerList(view *knowledge.View, heartbeat *peeringpb.Beat) bool {
+	if heartbeat.Era > view.Position.Era {
 		return true
 	}
-	return view.Position.Before(knowledge.Position{Era: beat.Era, Revision: beat.Revision}) && beat.Digest != view.Digest
+	return view.Position.Before(knowledge.Position{Era: heartbeat.Era, Revision: heartbeat.Revision}) && heartbeat.Digest != view.Digest
 }
 
 // delayElapsed reports whether this router has been behind for its part of
--- a/internal/peering/restored_test.go
+++ b/internal/peering/restored_test.go
@@ -38,9 +38,9 @@
 		draining := was
 		draining.Draining, draining.Position = true, at
 		source, pulling := newState([]knowledge.Backend{draining}, at), newState([]knowledge.Backend{was}, known)
-		beat := &peeringpb.Beat{Era: at.Era, Revision: at.Revision, Digest: source.View().Digest}
-		if !hasNewerList(pulling.View(), beat) {
-			t.Errorf("a beat at %v is not newer than %v", at, known)
+		heartbeat := &peeringpb.Beat{Era: at.Era, Revision: at.Revision, Digest: source.View().Digest}
+		if !hasNewerList(pulling.View(), heartbeat) {
+			t.Errorf("a heartbeat at %v is not newer than %v", at, known)
 		}
 		reply, err := (&server{state: source}).Pull(t.Context(), &peeringpb.PullRequest{Version: 1, Era: known.Era, Revision: known.Revision})
 		if err != nil {
@@ -53,8 +53,8 @@
 		if !view.Backends["i"].Draining || view.Position != at || view.Backends["i"].Position != at {
 			t.Errorf("%+v at %v after a list at %v", view.Backends["i"], view.Position, at)
 		}
-		if hasNewerList(view, beat) {
-			t.Errorf("the same beat at %v is newer again", at)
+		if hasNewerList(view, heartbeat) {
+			t.Errorf("the same heartbeat at %v counts as newer again", at)
 		}
 	}
 }
@@ -64,13 +64,13 @@
 func TestSameListOfANewerEraIsPulled(t *testing.T) {
 	backends := []knowledge.Backend{{ID: "i", Service: "s", Address: "10.0.0.1:1"}}
 	state := newState(backends, knowledge.Position{Era: 1, Revision: 87})
-	beat := &peeringpb.Beat{Era: 2, Revision: 60, Digest: state.View().Digest}
-	if !hasNewerList(state.View(), beat) {
-		t.Error("the same list of a newer era is not taken")
+	heartbeat := &peeringpb.Beat{Era: 2, Revision: 60, Digest: state.View().Digest}
+	if !hasNewerList(state.View(), heartbeat) {
+		t.Error("an identical list of a newer era is not pulled")
 	}
-	beat.Era = 1
-	if hasNewerList(state.View(), beat) {
-		t.Error("the same list of the same era is taken")
+	heartbeat.Era = 1
+	if hasNewerList(state.View(), heartbeat) {
+		t.Error("an identical list of the same era is pulled")
 	}
 }
 
@@ -87,11 +87,11 @@
 	}
 	send(receiver, sender)
 	if zones := sender.View().Evacuations.Zones; !slices.Equal(zones, []fleet.Zone{"a"}) {
-		t.Errorf("%v after a beat of the older era", zones)
+		t.Errorf("zones %v after a heartbeat of the older era", zones)
 	}
 	send(sender, receiver)
 	if known := receiver.View().Evacuations; !known.Has("a") || known.Position.Era != 2 {
-		t.Errorf("%+v after a beat of the newer era", known)
+		t.Errorf("evacuations %+v after a heartbeat of the newer era", known)
 	}
 }
 
--- a/internal/peering/send.go
+++ b/internal/peering/send.go
@@ -162,14 +162,14 @@
 	if len(targets) == 0 {
 		return
 	}
-	beat := proto.CloneOf(common)
-	beat.Echoes = m.echoes(targets)
-	beat.Uses = encodeUsages(own.usages)
-	beat.Loads = encodeLoads(own.loads)
-	beat.Paces, beat.Slowed = own.paces.encode(pacesDue, boottime.Instant(common.Clock))
-	beat.Held = m.heldAggregates(targets)
-	beat.Sums, beat.SumChanges = aggregates.full, aggregates.deltas
-	data, err := proto.Marshal(beat)
+	heartbeat := proto.CloneOf(common)
+	heartbeat.Echoes = m.echoes(targets)
+	heartbeat.Uses = encodeUsages(own.usages)
+	heartbeat.Loads = encodeLoads(own.loads)
+	heartbeat.Paces, heartbeat.Slowed = own.paces.encode(pacesDue, boottime.Instant(common.Clock))
+	heartbeat.Held = m.heldAggregates(targets)
+	heartbeat.Sums, heartbeat.SumChanges = aggregates.full, aggregates.deltas
+	data, err := proto.Marshal(heartbeat)
 	if err != nil {
 		panic(err) // only invalid UTF-8 can't be encoded
 	}
--- a/internal/peering/slowstart.go
+++ b/internal/peering/slowstart.go
@@ -8,8 +8,9 @@
 )
 
 // settlePeriod is the time after its start in which a router sends nothing to cold
-// backend servers. By its end, the other routers know of it, and requests that its VM's
-// previous process sent have left the limiter's window of one second.
+// backend servers. By its end, the other routers know of it, and the requests that its
+// VM's previous process sent last, which this process cannot count, are more than a
+// second old.
 const settlePeriod = 2 * time.Second
 
 // Order implements slowstart.Fleet. Unreachable routers count until their addresses
--- a/internal/peering/table.go
+++ b/internal/peering/table.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// minPeerTimeout is the minimum time after its last heartbeat for which a router
-	// counts as reachable, and peerTimeoutTurns the number of its turns to send. It spans
-	// several turns so that lost datagrams don't make the router unreachable.
+	// A router counts as reachable for minPeerTimeout after its last heartbeat, or for
+	// peerTimeoutTurns of its turns to send if that is longer. These are several turns so
+	// that lost datagrams don't make it unreachable.
 	minPeerTimeout   = 1500 * time.Millisecond
 	peerTimeoutTurns = 4
 	// routerCountTTL is how long the maximum number of routers is kept. A router that
@@ -196,12 +196,13 @@
 
 func addressHash(address fleet.Address) uint64 { return xxhash.Sum64String(string(address)) }
 
-// applyHeartbeat applies a heartbeat. accepted is false if it arrived out of order;
-// joined reports whether its sender was unreachable before.
-func (t *table) applyHeartbeat(beat *peeringpb.Beat, now boottime.Instant) (accepted, joined bool) {
+// applyHeartbeat applies a heartbeat. accepted is false if it arrived out of order or
+// comes from this router itself; joined reports whether its sender was unreachable
+// before.
+func (t *table) applyHeartbeat(heartbeat *peeringpb.Beat, now boottime.Instant) (accepted, joined bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	address := fleet.Address(beat.Address)
+	address := fleet.Address(heartbeat.Address)
 	if address == t.self {
 		return false, false
 	}
@@ -210,30 +211,30 @@
 		known = &peer{address: address, hash: addressHash(address)}
 		t.peers[address] = known
 	}
-	if beat.Incarnation < known.incarnation || (beat.Incarnation == known.incarnation && beat.Clock <= known.clock) {
+	if heartbeat.Incarnation < known.incarnation || (heartbeat.Incarnation == known.incarnation && heartbeat.Clock <= known.clock) {
 		return false, false
 	}
 	joined = known.lastHeartbeat == 0
 	pacesBefore := known.usage.paces
-	if beat.Incarnation != known.incarnation {
+	if heartbeat.Incarnation != known.incarnation {
 		pacesBefore = paces{}
 		t.invalidateClock(address)
 	}
-	known.incarnation, known.clock, known.lastHeartbeat = beat.Incarnation, beat.Clock, now
+	known.incarnation, known.clock, known.lastHeartbeat = heartbeat.Incarnation, heartbeat.Clock, now
 	t.lastHeartbeat = now
-	if beat.ContactAge >= 0 {
-		known.storeContact = now.Add(-time.Duration(beat.ContactAge))
+	if heartbeat.ContactAge >= 0 {
+		known.storeContact = now.Add(-time.Duration(heartbeat.ContactAge))
 	}
-	known.zone = fleet.Zone(beat.Zone)
+	known.zone = fleet.Zone(heartbeat.Zone)
 	t.replaceUsage(known, usage{
-		loads:  decodeLoads(beat.Loads),
-		usages: decodeUsages(beat.Uses),
-		paces:  decodePaces(beat.Paces, beat.Slowed, now).orPrevious(pacesBefore),
+		loads:  decodeLoads(heartbeat.Loads),
+		usages: decodeUsages(heartbeat.Uses),
+		paces:  decodePaces(heartbeat.Paces, heartbeat.Slowed, now).orPrevious(pacesBefore),
 		at:     now,
 	})
-	t.setHeldClock(known, beat.Held)
-	t.setAggregate(decodeAggregate(beat.Sums, now), address)
-	t.applyDeltas(beat.SumChanges, beat.Clock, address, now)
+	t.setHeldClock(known, heartbeat.Held)
+	t.setAggregate(decodeAggregate(heartbeat.Sums, now), address)
+	t.applyDeltas(heartbeat.SumChanges, heartbeat.Clock, address, now)
 	if joined {
 		t.updateRouterCount(now)
 	}
--- a/internal/peering/traffic.go
+++ b/internal/peering/traffic.go
@@ -18,7 +18,7 @@
 type messageKind string
 
 const (
-	messageHeartbeat messageKind = "beat"    // a heartbeat with the sender's own usage, within its zone, or with none
+	messageHeartbeat messageKind = "beat"    // a heartbeat without aggregates; with the sender's own usage within its zone
 	messageAggregate messageKind = "sums"    // a heartbeat that carries aggregates of zones
 	messagePull      messageKind = "pull"    // fleet state pulled from another router, in full
 	messageChanges   messageKind = "changes" // the same, as changes
--- a/internal/peering/traffic_bench_test.go
+++ b/internal/peering/traffic_bench_test.go
@@ -189,8 +189,8 @@
 	for _, size := range []workloadSize{hundredRouters, wholeFleet, inTwoYears} {
 		f, c := startLoadedFleet(b, size)
 		received := make(map[*Manager]int)
-		f.onHeartbeat = func(beat *peeringpb.Beat, bytes int, to *Manager) {
-			if carriesAggregate(beat) {
+		f.onHeartbeat = func(heartbeat *peeringpb.Beat, bytes int, to *Manager) {
+			if carriesAggregate(heartbeat) {
 				received[to] += bytes
 			}
 		}
@@ -207,11 +207,11 @@
 }
 
 // reportTraffic reports the mean over aggregators or over the other routers.
-func reportTraffic(b *testing.B, f *simNetwork, received map[*Manager]int, summing bool, seconds float64) {
+func reportTraffic(b *testing.B, f *simNetwork, received map[*Manager]int, aggregators bool, seconds float64) {
 	routers, receivedBytes := 0, 0
 	sent := make(map[string]int)
 	for _, router := range f.routers {
-		if router.isAggregator(f.now) != summing {
+		if router.isAggregator(f.now) != aggregators {
 			continue
 		}
 		routers++
@@ -228,4 +228,6 @@
 }
 
 // carriesAggregate reports whether a heartbeat carries aggregates of zones.
-func carriesAggregate(beat *peeringpb.Beat) bool { return beat.Sums != nil || beat.SumChanges != nil }
+func carriesAggregate(heartbeat *peeringpb.Beat) bool {
+	return heartbeat.Sums != nil || heartbeat.SumChanges != nil
+}
--- a/internal/peering/watchers.go
+++ b/internal/peering/watchers.go
@@ -50,7 +50,7 @@
 }
 
 // isolationTimeout is the time without a heartbeat from any router after which this
-// router counts as isolated, many heartbeat intervals.
+// router counts as isolated. It spans many heartbeat intervals.
 const isolationTimeout = 1500 * time.Millisecond
 
 // minFleetSize is the smallest fleet, this router included, of which it is more likely
@@ -67,7 +67,7 @@
 }
 
 // joinPeriod is the time after its start in which a router may not have received
-// heartbeats of its neighbors yet. Within several rounds of heartbeats they learn its
+// heartbeats of its neighbours yet. Within several rounds of heartbeats they learn its
 // address and include it as a target.
 const joinPeriod = 1200 * time.Millisecond
 
--- a/internal/peering/watchers_test.go
+++ b/internal/peering/watchers_test.go
@@ -10,7 +10,7 @@
 )
 
 // Guards against a list that nobody updates. Each zone has a router that watches the
-// store, and when those fail, others replace them as soon as their neighbors' heartbeats
+// store, and when those fail, others replace them as soon as their neighbours' heartbeats
 // stop, however rare heartbeats between zones are.
 func TestEachZoneHasAWatcher(t *testing.T) {
 	const perZone = 24
@@ -19,7 +19,7 @@
 		f.run(settleRounds)
 		watchers := f.watchers()
 		if want := max(maxWatchers, zones); len(watchers) != want {
-			t.Fatalf("%d zones: %d routers follow, want %d", zones, len(watchers), want)
+			t.Fatalf("%d zones: %d routers watch the store, want %d", zones, len(watchers), want)
 		}
 		inZones := make(map[fleet.Zone]bool)
 		for _, router := range watchers {
@@ -27,14 +27,14 @@
 			delete(f.routers, router.options.Address)
 		}
 		if len(inZones) != min(zones, maxWatchers) && len(inZones) != zones {
-			t.Fatalf("%d zones: followers in %d of them", zones, len(inZones))
+			t.Fatalf("%d zones: watchers in %d of them", zones, len(inZones))
 		}
 		f.run(int(3 * time.Second / heartbeatInterval))
 		for _, router := range f.watchers() {
 			delete(inZones, router.options.Zone)
 		}
 		if len(inZones) > 0 {
-			t.Errorf("%d zones: nobody follows in %v three seconds after the loss of those that did", zones, lo.Keys(inZones))
+			t.Errorf("%d zones: no watcher in %v three seconds after the loss of the previous ones", zones, lo.Keys(inZones))
 		}
 	}
 }
@@ -53,7 +53,7 @@
 	f.run(roundsPerCycle(zones*30, maxRemoteHeartbeats) / 4)
 	for address, router := range f.routers {
 		if _, reachable := router.watchRankAt(f.now); reachable != zones {
-			t.Errorf("%s has heard of %d zones in a quarter of a turn, want %d", address, reachable, zones)
+			t.Errorf("%s has received heartbeats from %d zones in a quarter of a cycle, want %d", address, reachable, zones)
 		}
 	}
 }
