--- a/internal/membership/directory_platform.go
+++ b/internal/membership/directory_platform.go
@@ -38,8 +38,8 @@
 	return at, nil
 }
 
-// Take implements spread.Replica.
-func (d *Directory) Take(_ context.Context, _ platform.API, changes []platform.Change) error {
+// ApplyChanges implements spread.Replica.
+func (d *Directory) ApplyChanges(_ context.Context, _ platform.API, changes []platform.Change) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, change := range changes {
--- a/internal/membership/directory_test.go
+++ b/internal/membership/directory_test.go
@@ -86,7 +86,7 @@
 			"watch": func(t *rapid.T) {
 				to := directories[one.Draw(t, "to")]
 				changes, _, _ := store.Watch(ctx, to.WatchPrefix(), platform.Version(to.Revision()), 0)
-				_ = to.Take(ctx, store, changes)
+				_ = to.ApplyChanges(ctx, store, changes)
 			},
 			"send": func(t *rapid.T) {
 				since := directories[one.Draw(t, "to")].Revision()
@@ -146,7 +146,7 @@
 	}
 	for version := range platform.Version(maxTombstones + 1) {
 		gone := platform.Object{Key: Key(fleet.Address(fmt.Sprintf("127.0.0.1:%d", version+1))), Version: version + 2}
-		if err := directory.Take(t.Context(), store, []platform.Change{{Object: gone, Deleted: true}}); err != nil {
+		if err := directory.ApplyChanges(t.Context(), store, []platform.Change{{Object: gone, Deleted: true}}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/membership/inband.go
+++ b/internal/membership/inband.go
@@ -1,7 +1,7 @@
 package membership
 
-// Word is what a node says of itself in the envelope of a control message.
-type Word struct {
+// SelfReport is what a node says of itself in the envelope of a control message.
+type SelfReport struct {
 	Incarnation    uint64 // start time of the process, Unix nanoseconds
 	LeavingChanges uint32 // times that Leaving has changed in this incarnation
 	Leaving        bool
@@ -9,7 +9,7 @@
 
 // newerThan orders the words of one node. Messages may arrive late and
 // reordered, so the order of arrival says nothing.
-func (w Word) newerThan(other Word) bool {
+func (w SelfReport) newerThan(other SelfReport) bool {
 	if w.Incarnation != other.Incarnation {
 		return w.Incarnation > other.Incarnation
 	}
--- a/internal/membership/keeper.go
+++ b/internal/membership/keeper.go
@@ -29,12 +29,12 @@
 	Remove bool
 }
 
-// Keeper carries the platform's list of VMs over to the nodes' records, so that
+// Reconciler carries the platform's list of VMs over to the nodes' records, so that
 // one lagging list becomes versioned changes which spread like all others. Its
 // writes are conditional on the record's version: a node that registers again
 // meanwhile wins over the older list. A Keeper is not safe for concurrent use
 // and reads no clock.
-type Keeper struct {
+type Reconciler struct {
 	seen   map[string]bool // VMs that some reading has shown
 	doubts map[fleet.Address]doubt
 }
@@ -45,14 +45,14 @@
 	version platform.Version
 }
 
-// NewKeeper returns a keeper that has read no list yet.
-func NewKeeper() *Keeper {
-	return &Keeper{seen: make(map[string]bool), doubts: make(map[fleet.Address]doubt)}
+// NewReconciler returns a keeper that has read no list yet.
+func NewReconciler() *Reconciler {
+	return &Reconciler{seen: make(map[string]bool), doubts: make(map[fleet.Address]doubt)}
 }
 
-// Decide compares one reading of the list with the records and returns the
+// Reconcile compares one reading of the list with the records and returns the
 // writes that bring them level.
-func (k *Keeper) Decide(now time.Time, vms []platform.VM, records []Record) []Write {
+func (k *Reconciler) Reconcile(now time.Time, vms []platform.VM, records []Record) []Write {
 	states := make(map[string]fleet.VMState, len(vms))
 	for _, vm := range vms {
 		states[vm.Name] = vm.State
@@ -79,7 +79,7 @@
 
 // decideOne compares a record with the list's state of its VM, which is empty
 // for a VM that is not in the list.
-func (k *Keeper) decideOne(now time.Time, listed fleet.VMState, record Record) (Write, bool) {
+func (k *Reconciler) decideOne(now time.Time, listed fleet.VMState, record Record) (Write, bool) {
 	marked := record.PlatformState == fleet.VMLeaving
 	switch {
 	case listed == fleet.VMLeaving && !marked:
@@ -103,7 +103,7 @@
 
 // settled tells whether the list and this version of the record have differed
 // for the time. A record that was written again starts anew.
-func (k *Keeper) settled(now time.Time, record Record, wait time.Duration) bool {
+func (k *Reconciler) settled(now time.Time, record Record, wait time.Duration) bool {
 	known, ok := k.doubts[record.Control]
 	if !ok || known.version != record.Version {
 		k.doubts[record.Control] = doubt{since: now, version: record.Version}
@@ -113,7 +113,7 @@
 }
 
 // forget drops what is held of records and VMs that are gone.
-func (k *Keeper) forget(states map[string]fleet.VMState, records []Record) {
+func (k *Reconciler) forget(states map[string]fleet.VMState, records []Record) {
 	nodes := make(map[fleet.Address]bool, len(records))
 	vms := make(map[string]bool, len(records))
 	for _, record := range records {
--- a/internal/membership/subset.go
+++ b/internal/membership/subset.go
@@ -49,9 +49,9 @@
 	return firstOf(Rank("watch/"+string(zone), inZone), count)
 }
 
-// Keepers returns the nodes that carry the platform's list of VMs over to the
+// Reconcilers returns the nodes that carry the platform's list of VMs over to the
 // nodes' records. Their number does not depend on the size of the fleet.
-func Keepers(nodes []fleet.Node, count int) []fleet.Node {
+func Reconcilers(nodes []fleet.Node, count int) []fleet.Node {
 	return firstOf(Rank("keeper", nodes), count)
 }
 
--- a/internal/membership/subset_test.go
+++ b/internal/membership/subset_test.go
@@ -36,7 +36,7 @@
 			"offer subset": func(nodes []fleet.Node) []fleet.Node { return OfferSubset("r", "zone-0", nodes, size) },
 			"homes":        func(nodes []fleet.Node) []fleet.Node { return Homes("s", nodes, size) },
 			"watchers":     func(nodes []fleet.Node) []fleet.Node { return Watchers("zone-0", nodes, size) },
-			"keepers":      func(nodes []fleet.Node) []fleet.Node { return Keepers(nodes, size) },
+			"keepers":      func(nodes []fleet.Node) []fleet.Node { return Reconcilers(nodes, size) },
 		}
 		for name, choose := range choices {
 			before, after := choose(nodes), choose(fewer)
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	// SuspectAfter is the number of failed calls in a row that makes a node
+	// SuspectThreshold is the number of failed calls in a row that makes a node
 	// suspected. One or two may fail for a connection that has gone silent.
-	SuspectAfter = 3
-	// SuspectFor is the time after which a suspected node is tried again.
-	SuspectFor = 5 * time.Second
+	SuspectThreshold = 3
+	// SuspicionTTL is the time after which a suspected node is tried again.
+	SuspicionTTL = 5 * time.Second
 )
 
 // suspicion is what failed calls to one node have led to.
@@ -19,8 +19,8 @@
 // fail counts a failed call.
 func (s *suspicion) fail(now time.Time) {
 	s.failures++
-	if s.failures >= SuspectAfter {
-		s.until = now.Add(SuspectFor)
+	if s.failures >= SuspectThreshold {
+		s.until = now.Add(SuspicionTTL)
 	}
 }
 
--- a/internal/membership/tracker.go
+++ b/internal/membership/tracker.go
@@ -12,7 +12,7 @@
 
 // peer is what a tracker holds of one node beside its record.
 type peer struct {
-	word      Word
+	word      SelfReport
 	suspicion suspicion
 }
 
@@ -49,7 +49,7 @@
 
 // Observe takes in what a node says of itself. A message from it also proves
 // that it can be reached.
-func (t *Tracker) Observe(control fleet.Address, word Word, now time.Time) {
+func (t *Tracker) Observe(control fleet.Address, word SelfReport, now time.Time) {
 	t.mu.Lock()
 	known := t.peer(control)
 	wasLeaving := known.word.Leaving
@@ -126,9 +126,9 @@
 	return t.view
 }
 
-// Unsettled tells that the view holds something that ends by itself, so that
+// NeedsRefresh tells that the view holds something that ends by itself, so that
 // Refresh is due now and then.
-func (t *Tracker) Unsettled() bool {
+func (t *Tracker) NeedsRefresh() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.view.Suspects) > 0 || t.guests.Len() > 0
--- a/internal/membership/tracker_test.go
+++ b/internal/membership/tracker_test.go
@@ -19,20 +19,20 @@
 	marked.PlatformState = fleet.VMLeaving
 	restarted := live
 	restarted.Incarnation = 6
-	leaving := Word{Incarnation: 5, LeavingChanges: 1, Leaving: true}
+	leaving := SelfReport{Incarnation: 5, LeavingChanges: 1, Leaving: true}
 	cases := map[string]struct {
 		records []Record
-		words   []Word
+		words   []SelfReport
 		want    fleet.VMState
 	}{
 		"listed live":                        {[]Record{live}, nil, fleet.VMLive},
-		"its word leads over a lagging list": {[]Record{live}, []Word{leaving}, fleet.VMLeaving},
-		"the list alone":                     {[]Record{marked}, []Word{{Incarnation: 5}}, fleet.VMLeaving},
-		"late older word":                    {[]Record{live}, []Word{leaving, {Incarnation: 5}}, fleet.VMLeaving},
-		"drain undone":                       {[]Record{live}, []Word{leaving, {Incarnation: 5, LeavingChanges: 2}}, fleet.VMLive},
-		"restart heard":                      {[]Record{live}, []Word{leaving, {Incarnation: 6}}, fleet.VMLive},
-		"late word of the last incarnation":  {[]Record{live}, []Word{{Incarnation: 6}, leaving}, fleet.VMLive},
-		"restart registered, not heard":      {[]Record{live, restarted}, []Word{leaving}, fleet.VMLive},
+		"its word leads over a lagging list": {[]Record{live}, []SelfReport{leaving}, fleet.VMLeaving},
+		"the list alone":                     {[]Record{marked}, []SelfReport{{Incarnation: 5}}, fleet.VMLeaving},
+		"late older word":                    {[]Record{live}, []SelfReport{leaving, {Incarnation: 5}}, fleet.VMLeaving},
+		"drain undone":                       {[]Record{live}, []SelfReport{leaving, {Incarnation: 5, LeavingChanges: 2}}, fleet.VMLive},
+		"restart heard":                      {[]Record{live}, []SelfReport{leaving, {Incarnation: 6}}, fleet.VMLive},
+		"late word of the last incarnation":  {[]Record{live}, []SelfReport{{Incarnation: 6}, leaving}, fleet.VMLive},
+		"restart registered, not heard":      {[]Record{live, restarted}, []SelfReport{leaving}, fleet.VMLive},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -78,7 +78,7 @@
 		return len(view.Usable(view.Nodes))
 	}
 	fail := func(control fleet.Address, now time.Time) {
-		for range SuspectAfter {
+		for range SuspectThreshold {
 			tracker.CallFailed(control, now)
 		}
 	}
@@ -90,11 +90,11 @@
 	if got := usable(start); got != 2 {
 		t.Fatalf("%d usable with all suspected", got)
 	}
-	tracker.Observe("127.0.0.1:2", Word{Incarnation: 1}, start)
+	tracker.Observe("127.0.0.1:2", SelfReport{Incarnation: 1}, start)
 	if got := usable(start); got != 1 {
 		t.Fatalf("%d usable with one heard again", got)
 	}
-	if got := usable(start.Add(SuspectFor)); got != 2 {
+	if got := usable(start.Add(SuspicionTTL)); got != 2 {
 		t.Fatalf("%d usable after the time", got)
 	}
 }
@@ -133,7 +133,7 @@
 	tracker.Introduce(visitor, start)
 	want("introduced again", start, 1)
 	gone := platform.Change{Object: platform.Object{Key: Key(node), Version: registered.Version + 9}, Deleted: true}
-	if err := directory.Take(t.Context(), store, []platform.Change{gone}); err != nil {
+	if err := directory.ApplyChanges(t.Context(), store, []platform.Change{gone}); err != nil {
 		t.Fatal(err)
 	}
 	if nodes := tracker.Refresh(start).Nodes; len(nodes) != 0 {
@@ -172,7 +172,7 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			keeper := NewKeeper()
+			keeper := NewReconciler()
 			second := -1
 			for _, reading := range test.readings {
 				var vms []platform.VM
@@ -182,7 +182,7 @@
 				now := start.Add(time.Duration(reading.second) * time.Second)
 				record := test.record
 				record.Version += platform.Version(reading.writes)
-				writes := keeper.Decide(now, vms, []Record{record})
+				writes := keeper.Reconcile(now, vms, []Record{record})
 				if len(writes) == 0 || second >= 0 {
 					continue
 				}
@@ -203,13 +203,13 @@
 // Sequence: the platform lists no VM for longer than the settle time.
 // Cause: a fault of the platform; a real loss never takes every VM at once.
 func TestKeeperSparesMostNodes(t *testing.T) {
-	keeper := NewKeeper()
+	keeper := NewReconciler()
 	var records []Record
 	for i := range 100 {
 		records = append(records, Record{Node: fleet.Node{Control: fleet.Address(rune('a' + i))}})
 	}
-	keeper.Decide(start, nil, records)
-	if writes := keeper.Decide(start.Add(time.Hour), nil, records); len(writes) != maxRemovals {
+	keeper.Reconcile(start, nil, records)
+	if writes := keeper.Reconcile(start.Add(time.Hour), nil, records); len(writes) != maxRemovals {
 		t.Fatalf("%d nodes removed at one reading", len(writes))
 	}
 }
--- a/internal/settings/replica_platform.go
+++ b/internal/settings/replica_platform.go
@@ -42,9 +42,9 @@
 	return at, nil
 }
 
-// Take implements spread.Replica. A watch returns the head itself, so that no
+// ApplyChanges implements spread.Replica. A watch returns the head itself, so that no
 // further read is needed when the node is only a little behind.
-func (r *Replica) Take(ctx context.Context, api platform.API, changes []platform.Change) error {
+func (r *Replica) ApplyChanges(ctx context.Context, api platform.API, changes []platform.Change) error {
 	for _, change := range changes {
 		if change.Object.Key != HeadKey || change.Deleted {
 			continue
--- a/internal/settings/replica_test.go
+++ b/internal/settings/replica_test.go
@@ -89,7 +89,7 @@
 	if seen.Version == 0 {
 		return
 	}
-	if err := node.Take(context.Background(), shared.store, []platform.Change{{Object: seen}}); err != nil {
+	if err := node.ApplyChanges(context.Background(), shared.store, []platform.Change{{Object: seen}}); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/spread/document.go
+++ b/internal/spread/document.go
@@ -31,6 +31,6 @@
 	// the one in force; an older one, from a stale read, changes nothing. It
 	// returns the platform's version from which a watch sees later changes.
 	Load(ctx context.Context, api platform.API) (platform.Version, error)
-	// Take takes in the changes that a watch returned.
-	Take(ctx context.Context, api platform.API, changes []platform.Change) error
+	// ApplyChanges takes in the changes that a watch returned.
+	ApplyChanges(ctx context.Context, api platform.API, changes []platform.Change) error
 }
--- a/internal/spread/replica_test.go
+++ b/internal/spread/replica_test.go
@@ -54,7 +54,7 @@
 	return object.Version, err
 }
 
-func (r *fakeReplica) Take(_ context.Context, _ platform.API, changes []platform.Change) error {
+func (r *fakeReplica) ApplyChanges(_ context.Context, _ platform.API, changes []platform.Change) error {
 	for _, change := range changes {
 		r.take(change.Object.Data)
 	}
--- a/internal/spread/shell_execute.go
+++ b/internal/spread/shell_execute.go
@@ -110,7 +110,7 @@
 	replica := m.replicas[command.Document]
 	changes, upTo, err := m.platform.Watch(bounded, replica.WatchPrefix(), command.From, m.config.WatchWait)
 	if err == nil && len(changes) > 0 {
-		err = replica.Take(bounded, m.platform, changes)
+		err = replica.ApplyChanges(bounded, m.platform, changes)
 	}
 	m.logPlatform("watch "+command.Document.String(), err)
 	return WatchEnded{Document: command.Document, Version: upTo, Err: err}
--- a/internal/spread/simulation_test.go
+++ b/internal/spread/simulation_test.go
@@ -212,7 +212,7 @@
 			err = platform.ErrUnavailable
 		}
 		if err == nil {
-			err = replica.Take(context.Background(), s.api, changes)
+			err = replica.ApplyChanges(context.Background(), s.api, changes)
 		}
 		s.deliver(node, session, WatchEnded{Document: command.Document, Version: upTo, Err: err})
 	}})
--- a/internal/spread/system_peer.go
+++ b/internal/spread/system_peer.go
@@ -27,8 +27,8 @@
 	}
 }
 
-func wordOf(envelope *rpc.Envelope) membership.Word {
-	return membership.Word{
+func wordOf(envelope *rpc.Envelope) membership.SelfReport {
+	return membership.SelfReport{
 		Incarnation:    envelope.GetIncarnation(),
 		LeavingChanges: envelope.GetLeavingChanges(),
 		Leaving:        envelope.GetLeaving(),
--- a/internal/spread/system_records.go
+++ b/internal/spread/system_records.go
@@ -35,7 +35,7 @@
 		return
 	}
 	records, _ := w.directory.Records()
-	for _, write := range w.keeper.Decide(w.now, event.VMs, records) {
+	for _, write := range w.keeper.Reconcile(w.now, event.VMs, records) {
 		w.emit(WriteRecord{Write: write})
 	}
 }
--- a/internal/spread/world.go
+++ b/internal/spread/world.go
@@ -26,7 +26,7 @@
 	documents [documentCount]*document
 	links     *tick.Table[fleet.Address, link]
 	verdicts  *verdictTable
-	keeper    *membership.Keeper
+	keeper    *membership.Reconciler
 
 	now      time.Time
 	wakeAt   time.Time
@@ -70,7 +70,7 @@
 		directory: parts.Directory,
 		links:     tick.NewTable[fleet.Address, link](),
 		verdicts:  newVerdictTable(),
-		keeper:    membership.NewKeeper(),
+		keeper:    membership.NewReconciler(),
 		join:      newJoinState(),
 		circle:    newCircle(config, membership.View{}),
 	}
@@ -158,7 +158,7 @@
 func (w *World) refresh(now time.Time) {
 	members := w.documents[DocumentMembers]
 	version := w.view.Version
-	unsettled := w.tracker.Unsettled()
+	unsettled := w.tracker.NeedsRefresh()
 	switch {
 	case members.replica.Revision() > members.noted:
 		w.view = w.tracker.Refresh(now)
--- a/internal/spread/world_test.go
+++ b/internal/spread/world_test.go
@@ -136,7 +136,7 @@
 	pushes := 0
 	for i := range 100 {
 		object := platform.Object{Key: fmt.Sprintf("nodes/10.0.1.%d:1", i), Version: platform.Version(10 + i), Data: []byte("{}")}
-		if err := desk.world.directory.Take(t.Context(), nil, []platform.Change{{Object: object}}); err != nil {
+		if err := desk.world.directory.ApplyChanges(t.Context(), nil, []platform.Change{{Object: object}}); err != nil {
 			t.Fatal(err)
 		}
 		for _, sync := range only[Sync](desk.step(10 * time.Millisecond)) {
