--- a/internal/gate/budget.go
+++ b/internal/gate/budget.go
@@ -45,36 +45,36 @@
 }
 
 func (b *retryBudget) bucket(service fleet.Service) *bucket {
-	known := b.services[service]
+	entry := b.services[service]
 	now := boottime.Now()
-	if known == nil {
+	if entry == nil {
 		// Half full, since this process may have spent some before a restart.
-		known = &bucket{tokens: b.limit() / 2, at: now}
-		b.services[service] = known
+		entry = &bucket{tokens: b.limit() / 2, at: now}
+		b.services[service] = entry
 	}
 	// The part that does not depend on requests refills over one window.
-	elapsed := now.Sub(known.at).Seconds()
-	known.tokens = min(known.tokens+elapsed*b.limit()/2/b.settings.get().Budget.Window.Seconds(), b.limit())
-	known.at = now
-	return known
+	elapsed := now.Sub(entry.at).Seconds()
+	entry.tokens = min(entry.tokens+elapsed*b.limit()/2/b.settings.get().Budget.Window.Seconds(), b.limit())
+	entry.at = now
+	return entry
 }
 
 // credit adds the retries that a request to the service allows.
 func (b *retryBudget) credit(service fleet.Service) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	known := b.bucket(service)
-	known.tokens = min(known.tokens+b.settings.get().Budget.Ratio*usedBudgetShare, b.limit())
+	entry := b.bucket(service)
+	entry.tokens = min(entry.tokens+b.settings.get().Budget.Ratio*usedBudgetShare, b.limit())
 }
 
 // spend takes one retry from the budget and reports whether it may be made.
 func (b *retryBudget) spend(service fleet.Service) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	known := b.bucket(service)
-	if known.tokens < 1 {
+	entry := b.bucket(service)
+	if entry.tokens < 1 {
 		return false
 	}
-	known.tokens--
+	entry.tokens--
 	return true
 }
--- a/internal/gate/cold.go
+++ b/internal/gate/cold.go
@@ -67,21 +67,21 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	known, serving := c.services[service], view.Serving[service]
-	if known.fresh(serving, now) {
-		return known.cold
+	list, serving := c.services[service], view.Serving[service]
+	if list.fresh(serving, now) {
+		return list.cold
 	}
-	known = coldList{serving: serving, at: now}
+	list = coldList{serving: serving, at: now}
 	for _, backend := range serving {
 		if now < c.coldUntil(view, settings, backend) {
-			if known.cold == nil {
-				known.cold = make(map[string]slowstart.Bound)
+			if list.cold == nil {
+				list.cold = make(map[string]slowstart.Bound)
 			}
-			known.cold[backend.Incarnation] = bound
+			list.cold[backend.Incarnation] = bound
 		}
 	}
-	c.services[service] = known
-	return known.cold
+	c.services[service] = list
+	return list.cold
 }
 
 // serviceBound returns the bound of a service's cold backend servers.
@@ -112,9 +112,9 @@
 	now := boottime.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for known, until := range c.marked {
+	for other, until := range c.marked {
 		if now > until {
-			delete(c.marked, known)
+			delete(c.marked, other)
 		}
 	}
 	c.marked[incarnation] = max(c.marked[incarnation], now.Add(remaining))
--- a/internal/gate/loads.go
+++ b/internal/gate/loads.go
@@ -234,15 +234,15 @@
 	if len(l.ejected) == 0 {
 		return nil
 	}
-	shunned := make(map[string]bool, len(l.ejected))
+	ejected := make(map[string]bool, len(l.ejected))
 	for incarnation, until := range l.ejected {
 		if now >= until {
 			delete(l.ejected, incarnation)
 			continue
 		}
-		shunned[incarnation] = true
+		ejected[incarnation] = true
 	}
-	return shunned
+	return ejected
 }
 
 // get returns the router's own load at a backend server and the server's latency.
--- a/internal/gate/plain.go
+++ b/internal/gate/plain.go
@@ -63,17 +63,17 @@
 
 // mean returns the mean service time of the backend servers that have answered.
 func (p *plainServers) mean(usable []*knowledge.Backend) time.Duration {
-	var sum, known time.Duration
+	var sum, count time.Duration
 	for _, backend := range usable {
 		if state := p.states[backend.Incarnation]; state != nil && state.serviceTime.Learned() > 0 {
 			sum += state.serviceTime.Learned()
-			known++
+			count++
 		}
 	}
-	if known == 0 {
+	if count == 0 {
 		return defaultServiceTime
 	}
-	return sum / known
+	return sum / count
 }
 
 // placeBounded chooses a plain server for the request and adds the request to its load, or
--- a/internal/gate/ranking.go
+++ b/internal/gate/ranking.go
@@ -115,8 +115,8 @@
 		c.snapshot = by.snapshot
 	}
 	key := weighedKey{list: &list[0], exponent: by.exponent}
-	if known := c.weighed[key]; len(known.list) == len(list) {
-		return known.weights
+	if cached := c.weighed[key]; len(cached.list) == len(list) {
+		return cached.weights
 	}
 	weights := by.weigh(list)
 	c.weighed[key] = weighedList{list: list, weights: weights}
@@ -134,8 +134,8 @@
 	if len(c.ownZone) >= maxCachedLists {
 		clear(c.ownZone)
 	}
-	if known := c.ownZone[&list[0]]; len(known.list) == len(list) {
-		return known.inZone
+	if cached := c.ownZone[&list[0]]; len(cached.list) == len(list) {
+		return cached.inZone
 	}
 	near := inZone(list, zone)
 	c.ownZone[&list[0]] = zoneList{list: list, inZone: near}
--- a/internal/gate/requestcounts.go
+++ b/internal/gate/requestcounts.go
@@ -109,12 +109,12 @@
 }
 
 func (t *requestCounts) account(name fleet.Account) *AccountCounts {
-	known := t.accounts[name]
-	if known == nil {
-		known = &AccountCounts{Account: name}
-		t.accounts[name] = known
+	counts := t.accounts[name]
+	if counts == nil {
+		counts = &AccountCounts{Account: name}
+		t.accounts[name] = counts
 	}
-	return known
+	return counts
 }
 
 // write logs what was counted since the last call, together with the given fields, and
--- a/internal/gate/segmentindex.go
+++ b/internal/gate/segmentindex.go
@@ -15,10 +15,10 @@
 const maxSegments = 4096
 
 // segmentIndex records which engine was the last to read a prompt segment for a caller of
-// this router. The hash order of the segment alone does not tell: while its preferred
-// engine was full, the second one or a later one read it. Without the index, the preferred
-// engine would read again what another one caches, most of all under high load. It may be
-// used concurrently.
+// this router. The hash order alone does not show it: while the segment's preferred engine
+// was full, the second one or a later one read it. Without the index, the preferred engine
+// would read again what another one caches, most of all under high load. It may be used
+// concurrently.
 type segmentIndex struct {
 	engines *lru.Cache[string, cacheHolder] // by segment id
 
@@ -55,19 +55,19 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known, ok := s.demand.Get(segment)
+	demand, ok := s.demand.Get(segment)
 	if !ok {
 		s.demand.Add(segment, &segmentDemand{lastRequest: now})
 		return false
 	}
-	elapsed := now.Sub(known.lastRequest)
-	known.lastRequest = now
-	if known.interval == 0 {
-		known.interval = elapsed
+	elapsed := now.Sub(demand.lastRequest)
+	demand.lastRequest = now
+	if demand.interval == 0 {
+		demand.interval = elapsed
 		return false
 	}
-	known.interval = time.Duration(intervalDecay*float64(known.interval) + (1-intervalDecay)*float64(elapsed))
-	return known.interval < hotInterval
+	demand.interval = time.Duration(intervalDecay*float64(demand.interval) + (1-intervalDecay)*float64(elapsed))
+	return demand.interval < hotInterval
 }
 
 // recordRead records that the backend server has read the segment.
@@ -81,12 +81,12 @@
 // cacheHolder returns the backend server that was the last to read the segment, nil if it
 // is unknown, gone or has restarted since.
 func (s *segmentIndex) cacheHolder(segment string, view *knowledge.View) *knowledge.Backend {
-	known, ok := s.engines.Get(segment)
+	holder, ok := s.engines.Get(segment)
 	if !ok {
 		return nil
 	}
-	backend := view.Backends[known.id]
-	if backend == nil || backend.Incarnation != known.incarnation {
+	backend := view.Backends[holder.id]
+	if backend == nil || backend.Incarnation != holder.incarnation {
 		return nil
 	}
 	return backend
--- a/internal/gate/unavailable.go
+++ b/internal/gate/unavailable.go
@@ -31,12 +31,12 @@
 // go on sending requests to a server that stops while they run. Its methods may be called
 // concurrently.
 type unavailableServers struct {
-	mu    sync.Mutex
-	known map[string]unavailability
+	mu      sync.Mutex
+	entries map[string]unavailability
 }
 
 func newUnavailableServers() *unavailableServers {
-	return &unavailableServers{known: make(map[string]unavailability)}
+	return &unavailableServers{entries: make(map[string]unavailability)}
 }
 
 // add records that a backend server rejects requests until the given time. It reports
@@ -44,10 +44,10 @@
 func (u *unavailableServers) add(incarnation string, until, now boottime.Instant) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	known := u.known[incarnation]
-	wasAvailable := known.until <= now
-	known.until = max(known.until, until)
-	u.known[incarnation] = known
+	entry := u.entries[incarnation]
+	wasAvailable := entry.until <= now
+	entry.until = max(entry.until, until)
+	u.entries[incarnation] = entry
 	return wasAvailable
 }
 
@@ -57,15 +57,15 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	var unavailable map[string]boottime.Instant
-	for incarnation, known := range u.known {
-		if now >= known.until {
-			delete(u.known, incarnation)
+	for incarnation, entry := range u.entries {
+		if now >= entry.until {
+			delete(u.entries, incarnation)
 			continue
 		}
 		if unavailable == nil {
-			unavailable = make(map[string]boottime.Instant, len(u.known))
+			unavailable = make(map[string]boottime.Instant, len(u.entries))
 		}
-		unavailable[incarnation] = known.until
+		unavailable[incarnation] = entry.until
 	}
 	return unavailable
 }
@@ -74,7 +74,7 @@
 func (u *unavailableServers) has(incarnation string, now boottime.Instant) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return now < u.known[incarnation].until
+	return now < u.entries[incarnation].until
 }
 
 // prune removes backend servers that have been unlisted for longer than unlistedTTL.
@@ -85,16 +85,16 @@
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for incarnation, known := range u.known {
+	for incarnation, entry := range u.entries {
 		switch {
 		case listed[incarnation]:
-			known.unlistedSince = 0
-		case known.unlistedSince == 0:
-			known.unlistedSince = now
+			entry.unlistedSince = 0
+		case entry.unlistedSince == 0:
+			entry.unlistedSince = now
 		}
-		u.known[incarnation] = known
+		u.entries[incarnation] = entry
 	}
-	maps.DeleteFunc(u.known, func(_ string, known unavailability) bool {
-		return known.unlistedSince != 0 && now.Sub(known.unlistedSince) > unlistedTTL
+	maps.DeleteFunc(u.entries, func(_ string, entry unavailability) bool {
+		return entry.unlistedSince != 0 && now.Sub(entry.unlistedSince) > unlistedTTL
 	})
 }
