--- a/internal/gate/acceptor.go
+++ b/internal/gate/acceptor.go
@@ -64,37 +64,37 @@
 }
 
 func newAcceptor(handler http.Handler, connections int, cpu cpuMonitor, drain *drainState) *acceptor {
-	e := &acceptor{handler: handler, callers: newCallerConns(connections), cpu: cpu, drain: drain}
-	e.applyLimits(defaultLimits)
-	return e
+	a := &acceptor{handler: handler, callers: newCallerConns(connections), cpu: cpu, drain: drain}
+	a.applyLimits(defaultLimits)
+	return a
 }
 
 // applyLimits sets the limits of connections opened from now on.
-func (e *acceptor) applyLimits(limits knowledge.Limits) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.current != nil && sameConnectionLimits(e.current.limits, limits) {
+func (a *acceptor) applyLimits(limits knowledge.Limits) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.current != nil && sameConnectionLimits(a.current.limits, limits) {
 		return
 	}
 	next := &limitedServer{
 		limits: limits,
 		conns:  newChanListener(),
 		server: &http.Server{
-			Handler:           e.handler,
+			Handler:           a.handler,
 			MaxHeaderBytes:    limits.HeaderBytes,
 			ReadHeaderTimeout: limits.HeaderTimeout,
 			IdleTimeout:       limits.IdleTimeout,
 			// Errors caused by callers would flood the log.
 			ErrorLog:    log.New(io.Discard, "", 0),
-			BaseContext: func(net.Listener) context.Context { return e.drain.requests },
+			BaseContext: func(net.Listener) context.Context { return a.drain.requests },
 			ConnContext: withCallerConn,
-			ConnState:   e.connStateChanged,
+			ConnState:   a.connStateChanged,
 			// OPTIONS * is handled like any other request.
 			DisableGeneralOptionsHandler: true,
 		},
 	}
-	e.current = next
-	e.servers = append(e.servers, next)
+	a.current = next
+	a.servers = append(a.servers, next)
 	go func() { _ = next.server.Serve(next.conns) }() // ends with the listener only
 }
 
@@ -110,32 +110,32 @@
 // nothing makes progress for as long as they come. A connection reset by the kernel costs
 // nothing, and its caller tries another router immediately; a caller whose connection waits
 // to be accepted gives up only after a second.
-func (e *acceptor) run(ctx context.Context, address fleet.Address) error {
-	for ctx.Err() == nil && !e.drain.listenerClosed.Load() {
-		listener, err := e.listen(ctx, address)
+func (a *acceptor) run(ctx context.Context, address fleet.Address) error {
+	for ctx.Err() == nil && !a.drain.listenerClosed.Load() {
+		listener, err := a.listen(ctx, address)
 		if err != nil {
 			return fleet.Wrap(err, fleet.StepAccept, address)
 		}
-		e.accept(ctx, listener)
+		a.accept(ctx, listener)
 		_ = listener.Close() // it may be closed already
 		closedAt := boottime.Now()
-		if e.awaitRecovery(ctx) {
-			e.cpu.recordRecovery(boottime.Now().Sub(closedAt))
+		if a.awaitRecovery(ctx) {
+			a.cpu.recordRecovery(boottime.Now().Sub(closedAt))
 		}
 	}
 	return nil
 }
 
-func (e *acceptor) listen(ctx context.Context, address fleet.Address) (net.Listener, error) {
+func (a *acceptor) listen(ctx context.Context, address fleet.Address) (net.Listener, error) {
 	config := net.ListenConfig{KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: callerKeepAlive, Interval: callerKeepAlive, Count: 2}}
 	listener, err := config.Listen(ctx, "tcp", string(address))
 	if err != nil {
 		return nil, err
 	}
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.listener = listener
-	if e.drain.listenerClosed.Load() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.listener = listener
+	if a.drain.listenerClosed.Load() {
 		_ = listener.Close() // stopAccepting came first
 	}
 	return listener, nil
@@ -143,30 +143,30 @@
 
 // accept accepts connections until the listener is closed, the context ends or requests in
 // progress are stalled.
-func (e *acceptor) accept(ctx context.Context, listener net.Listener) {
-	stop := context.AfterFunc(ctx, e.stopAccepting)
+func (a *acceptor) accept(ctx context.Context, listener net.Listener) {
+	stop := context.AfterFunc(ctx, a.stopAccepting)
 	defer stop()
 	for {
-		e.callers.slots <- struct{}{}
-		if e.cpu.stalled() {
-			<-e.callers.slots
-			e.cpu.recordShedding()
+		a.callers.slots <- struct{}{}
+		if a.cpu.stalled() {
+			<-a.callers.slots
+			a.cpu.recordShedding()
 			return
 		}
 		conn, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
-			<-e.callers.slots
+			<-a.callers.slots
 			return
 		}
 		if err != nil {
-			<-e.callers.slots
+			<-a.callers.slots
 			time.Sleep(acceptRetryInterval)
 			continue
 		}
-		e.mu.Lock()
-		current := e.current
-		e.mu.Unlock()
-		current.conns.pass(e.callers.add(conn))
+		a.mu.Lock()
+		current := a.current
+		a.mu.Unlock()
+		current.conns.pass(a.callers.add(conn))
 	}
 }
 
@@ -175,14 +175,14 @@
 
 // awaitRecovery waits until requests get the processor without delay. It returns false if
 // the listener is closed meanwhile.
-func (e *acceptor) awaitRecovery(ctx context.Context) bool {
-	for !e.cpu.recovered() {
-		if ctx.Err() != nil || e.drain.listenerClosed.Load() {
+func (a *acceptor) awaitRecovery(ctx context.Context) bool {
+	for !a.cpu.recovered() {
+		if ctx.Err() != nil || a.drain.listenerClosed.Load() {
 			return false
 		}
 		time.Sleep(recoveryPollInterval)
 	}
-	return ctx.Err() == nil && !e.drain.listenerClosed.Load()
+	return ctx.Err() == nil && !a.drain.listenerClosed.Load()
 }
 
 // callerKeepAlive is the TCP keep-alive interval. It finds callers that vanished without
@@ -194,23 +194,23 @@
 const keepAliveShare = 0.4
 
 // closeAfterAnswer reports whether connections are to be closed after their next answer.
-func (e *acceptor) closeAfterAnswer() bool { return e.drain.draining() || e.nearConnectionLimit() }
+func (a *acceptor) closeAfterAnswer() bool { return a.drain.draining() || a.nearConnectionLimit() }
 
 // nearConnectionLimit reports whether callers hold so many connections open that the rest
 // may not suffice. Callers that retry after a refusal open a new connection each time and
 // leave it open. Once no more can be accepted, requests wait a second for their connection
 // and are read after their callers have disconnected.
-func (e *acceptor) nearConnectionLimit() bool {
-	places := e.callers.slots
+func (a *acceptor) nearConnectionLimit() bool {
+	places := a.callers.slots
 	return float64(len(places)) > float64(cap(places))*keepAliveShare
 }
 
-func (e *acceptor) stopAccepting() {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.drain.listenerClosed.Store(true)
-	if e.listener != nil {
-		_ = e.listener.Close() // it is no longer needed
+func (a *acceptor) stopAccepting() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.drain.listenerClosed.Store(true)
+	if a.listener != nil {
+		_ = a.listener.Close() // it is no longer needed
 	}
 }
 
@@ -230,38 +230,38 @@
 //
 // It does not call Shutdown on the servers: that could read a request, drop it and close
 // its connection.
-func (e *acceptor) finish(ctx context.Context) int {
-	remaining := e.awaitIdle(ctx)
-	e.drain.end()
-	e.awaitClosed()
-	for _, server := range e.httpServers() {
+func (a *acceptor) finish(ctx context.Context) int {
+	remaining := a.awaitIdle(ctx)
+	a.drain.end()
+	a.awaitClosed()
+	for _, server := range a.httpServers() {
 		_ = server.Close() // only connections of stalled callers are left
 	}
 	return remaining
 }
 
 // httpServers returns the servers of all limits since the start.
-func (e *acceptor) httpServers() []*http.Server {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return lo.Map(e.servers, func(g *limitedServer, _ int) *http.Server { return g.server })
+func (a *acceptor) httpServers() []*http.Server {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return lo.Map(a.servers, func(s *limitedServer, _ int) *http.Server { return s.server })
 }
 
 // awaitIdle waits until no request has been in progress for drainQuietPeriod or the context
 // ends. It closes idle connections meanwhile, and returns how many requests are still in
 // progress.
-func (e *acceptor) awaitIdle(ctx context.Context) int {
-	quiet := time.Duration(0)
-	for quiet < drainQuietPeriod {
-		e.callers.closeIdle()
+func (a *acceptor) awaitIdle(ctx context.Context) int {
+	quietFor := time.Duration(0)
+	for quietFor < drainQuietPeriod {
+		a.callers.closeIdle()
 		select {
 		case <-ctx.Done():
-			return e.callers.count(connServing)
+			return a.callers.count(connServing)
 		case <-time.After(drainPollInterval):
 		}
-		quiet += drainPollInterval
-		if e.callers.busy() {
-			quiet = 0
+		quietFor += drainPollInterval
+		if a.callers.busy() {
+			quietFor = 0
 		}
 	}
 	return 0
@@ -269,9 +269,9 @@
 
 // awaitClosed closes each connection once no request is being read or served on it. It
 // returns when all are closed, or after finalAnswerTimeout.
-func (e *acceptor) awaitClosed() {
-	for ends := boottime.Now().Add(finalAnswerTimeout); boottime.Now() < ends; time.Sleep(drainPollInterval) {
-		if e.callers.closeWaiting() == 0 {
+func (a *acceptor) awaitClosed() {
+	for deadline := boottime.Now().Add(finalAnswerTimeout); boottime.Now() < deadline; time.Sleep(drainPollInterval) {
+		if a.callers.closeWaiting() == 0 {
 			return
 		}
 	}
@@ -279,11 +279,11 @@
 
 // connStateChanged is the servers' ConnState hook. A connection that becomes idle after the
 // listener was closed is closed too: its last answer may not have announced that.
-func (e *acceptor) connStateChanged(conn net.Conn, state http.ConnState) {
+func (a *acceptor) connStateChanged(conn net.Conn, state http.ConnState) {
 	if caller, ok := conn.(*callerConn); ok {
 		caller.setState(state)
 	}
-	if state == http.StateIdle && e.drain.listenerClosed.Load() {
+	if state == http.StateIdle && a.drain.listenerClosed.Load() {
 		_ = conn.Close() // its caller may have closed it
 	}
 }
--- a/internal/gate/manager.go
+++ b/internal/gate/manager.go
@@ -47,7 +47,7 @@
 func NewManager(options Options) *Manager {
 	settings := newCurrentSettings(options.Settings)
 	admission := newAdmission(settings, options.Zone, options.Peers)
-	connections := newConnectionStats(options.Logger, options.Registerer)
+	connectionStats := newConnectionStats(options.Logger, options.Registerer)
 	drain := newDrainState()
 	h := &handler{
 		drain:         drain,
@@ -55,7 +55,7 @@
 		dialect:       options.Dialect,
 		state:         options.State,
 		startedAt:     boottime.Now(),
-		pool:          newPool(connections),
+		pool:          newPool(connectionStats),
 		admission:     admission,
 		budget:        newRetryBudget(settings, options.Peers),
 		suspects:      newSuspects(),
@@ -66,9 +66,9 @@
 	}
 	admission.paces.export(options.Logger, options.Registerer)
 	admission.plain.observeWait = h.metrics.plainWait
-	entry := newAcceptor(h, options.Connections, h.lag, drain)
-	h.closeAfterAnswer = entry.closeAfterAnswer
-	return &Manager{options: options, handler: h, acceptor: entry, connectionStats: connections}
+	acceptor := newAcceptor(h, options.Connections, h.lag, drain)
+	h.closeAfterAnswer = acceptor.closeAfterAnswer
+	return &Manager{options: options, handler: h, acceptor: acceptor, connectionStats: connectionStats}
 }
 
 // ApplyConfig applies new settings. Addresses stay as they were at the start.
--- a/internal/gate/request_log.go
+++ b/internal/gate/request_log.go
@@ -57,17 +57,17 @@
 // Run periodically logs the request counts and the number of dropped entries until the
 // context ends.
 func (r *requestLog) Run(ctx context.Context) error {
-	ticker := time.NewTicker(droppedInterval)
-	defer ticker.Stop()
-	tallies := time.NewTicker(countsInterval)
-	defer tallies.Stop()
+	droppedTicker := time.NewTicker(droppedInterval)
+	defer droppedTicker.Stop()
+	countsTicker := time.NewTicker(countsInterval)
+	defer countsTicker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-tallies.C:
+		case <-countsTicker.C:
 			r.counts.write(r.logger, r.inputs())
-		case <-ticker.C:
+		case <-droppedTicker.C:
 			if count := r.dropped.Swap(0); count > 0 {
 				event.GateRecordsSuppressed.Log(r.logger, logrus.Fields{"count": count})
 			}
