--- a/internal/peering/restored_test.go
+++ b/internal/peering/restored_test.go
@@ -27,9 +27,10 @@
 	return newPuller(state, "", logger)
 }
 
-// Guards against routers that keep an outdated list after the store was restored from an
-// older copy. The restored list may have a lower or equal revision, here 87 at all of
-// them; it must be pulled once at any revision, with the changes written since.
+// Guards against routers that do not watch the store and keep an outdated list after the
+// store was restored from an older copy. The revision of the watchers' list is then not
+// greater than theirs, for instance 87 at all of them. The list must be pulled once at any
+// revision, with the changes written since.
 func TestListOfANewerEraIsPulled(t *testing.T) {
 	was := knowledge.Backend{ID: "i", Service: "s", Address: "10.0.0.1:1", Position: knowledge.Position{Era: 1, Revision: 40}}
 	known := knowledge.Position{Era: 1, Revision: 87}
