--- a/internal/gate/records.go
+++ b/internal/gate/request_log.go
@@ -27,8 +27,8 @@
 	answersBurst     = 10
 	// droppedInterval is the interval at which the number of dropped entries is logged.
 	droppedInterval = 5 * time.Second
-	// tallyInterval is the interval at which request counts are logged.
-	tallyInterval = time.Second
+	// countsInterval is the interval at which request counts are logged.
+	countsInterval = time.Second
 )
 
 // requestLog logs the decisions on requests, at a bounded rate.
@@ -57,17 +57,17 @@
 // Run periodically logs the request counts and the number of dropped entries until the
 // context ends.
 func (r *requestLog) Run(ctx context.Context) error {
-	ticker := time.NewTicker(droppedInterval)
-	defer ticker.Stop()
-	tallies := time.NewTicker(tallyInterval)
-	defer tallies.Stop()
+	droppedTicker := time.NewTicker(droppedInterval)
+	defer droppedTicker.Stop()
+	countsTicker := time.NewTicker(countsInterval)
+	defer countsTicker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-tallies.C:
+		case <-countsTicker.C:
 			r.counts.write(r.logger, r.inputs())
-		case <-ticker.C:
+		case <-droppedTicker.C:
 			if count := r.dropped.Swap(0); count > 0 {
 				event.GateRecordsSuppressed.Log(r.logger, logrus.Fields{"count": count})
 			}
