--- a/cmd/measure-spread/main.go
+++ b/cmd/measure-spread/main.go
@@ -70,7 +70,7 @@
 }
 
 func measure(ctx context.Context, o options) (report, error) {
-	fleet, err := startFleet(ctx, o, spread.Config{ExchangeInterval: o.Exchange, PartnerTime: o.Partner})
+	fleet, err := startFleet(ctx, o, spread.Config{ExchangeInterval: o.Exchange, PartnerTTL: o.Partner})
 	if err != nil {
 		return report{}, err
 	}
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -37,7 +37,7 @@
 func (fakeFleet) AddVerdict(*rpc.Verdict)         {}
 func (fakeFleet) Changed() <-chan struct{}        { return make(chan struct{}) }
 func (fakeFleet) Envelope() *rpc.Envelope         { return &rpc.Envelope{} }
-func (fakeFleet) Heard(*rpc.Envelope)             {}
+func (fakeFleet) ReceiveEnvelope(*rpc.Envelope)   {}
 func (fakeFleet) CallFailed(fleet.Address)        {}
 func (fakeFleet) PlatformLeaving() bool           { return false }
 func (fakeFleet) SetLeaving(bool)                 {}
--- a/internal/agent/fleet.go
+++ b/internal/agent/fleet.go
@@ -22,8 +22,8 @@
 	Changed() <-chan struct{}
 	// Envelope returns this node's envelope for a control message.
 	Envelope() *rpc.Envelope
-	// Heard takes in the envelope of another node.
-	Heard(envelope *rpc.Envelope)
+	// ReceiveEnvelope takes in the envelope of another node.
+	ReceiveEnvelope(envelope *rpc.Envelope)
 	// CallFailed counts a control call to a peer that got no answer.
 	CallFailed(peer fleet.Address)
 	// PlatformLeaving tells whether the platform's list says that this VM is
--- a/internal/agent/shell_control.go
+++ b/internal/agent/shell_control.go
@@ -38,7 +38,7 @@
 	if envelope == nil || envelope.Sender == "" {
 		return twirp.RequiredArgumentError("envelope")
 	}
-	s.fleet.Heard(envelope)
+	s.fleet.ReceiveEnvelope(envelope)
 	return nil
 }
 
@@ -97,7 +97,7 @@
 		return nil, err
 	}
 	if in.Envelope != nil {
-		s.fleet.Heard(in.Envelope)
+		s.fleet.ReceiveEnvelope(in.Envelope)
 	}
 	fenced, _ := uuid.FromBytes(in.FencedHolder) // none in most claims
 	state, err := ask[ClaimState](s, func(ticket Ticket) Input {
--- a/internal/agent/shell_peers.go
+++ b/internal/agent/shell_peers.go
@@ -71,7 +71,7 @@
 		p.fleet.CallFailed(command.Router)
 		return answered
 	}
-	p.fleet.Heard(reply.Envelope)
+	p.fleet.ReceiveEnvelope(reply.Envelope)
 	answered.Incarnation = reply.Envelope.GetIncarnation()
 	answered.Declined = reply.Declined
 	answered.Offers = accountOffers(reply.Offers)
@@ -89,7 +89,7 @@
 		if err != nil {
 			p.fleet.CallFailed(command.Router)
 		} else {
-			p.fleet.Heard(reply.Envelope)
+			p.fleet.ReceiveEnvelope(reply.Envelope)
 			answered.Incarnation = reply.Envelope.GetIncarnation()
 			answered.Offers = accountOffers(reply.Offers)
 		}
@@ -105,7 +105,7 @@
 		if err != nil {
 			p.fleet.CallFailed(command.Home)
 		} else {
-			p.fleet.Heard(reply.Envelope)
+			p.fleet.ReceiveEnvelope(reply.Envelope)
 			answered.Incarnation = reply.Envelope.GetIncarnation()
 			answered.Reply = reply
 		}
@@ -127,7 +127,7 @@
 		if err != nil {
 			p.fleet.CallFailed(command.Guard)
 		} else {
-			p.fleet.Heard(reply.Envelope)
+			p.fleet.ReceiveEnvelope(reply.Envelope)
 			answered.Holds = reply.Result != rpc.ClaimResult_CLAIM_RESULT_HELD
 		}
 		p.world.Send(answered)
--- a/internal/pathtest/live_test.go
+++ b/internal/pathtest/live_test.go
@@ -65,15 +65,15 @@
 	envelope rpc.Envelope
 }
 
-func (k *known) Settings() settings.View  { return k.view }
-func (k *known) Members() membership.View { return k.members }
-func (k *known) Verdicts() []*rpc.Verdict { return nil }
-func (k *known) Changed() <-chan struct{} { return nil }
-func (k *known) Heard(*rpc.Envelope)      {}
-func (k *known) SetLeaving(bool)          {}
-func (k *known) PlatformLeaving() bool    { return false }
-func (k *known) CallFailed(fleet.Address) {}
-func (k *known) AddVerdict(*rpc.Verdict)  {}
+func (k *known) Settings() settings.View       { return k.view }
+func (k *known) Members() membership.View      { return k.members }
+func (k *known) Verdicts() []*rpc.Verdict      { return nil }
+func (k *known) Changed() <-chan struct{}      { return nil }
+func (k *known) ReceiveEnvelope(*rpc.Envelope) {}
+func (k *known) SetLeaving(bool)               {}
+func (k *known) PlatformLeaving() bool         { return false }
+func (k *known) CallFailed(fleet.Address)      {}
+func (k *known) AddVerdict(*rpc.Verdict)       {}
 func (k *known) Envelope() *rpc.Envelope {
 	return &rpc.Envelope{Sender: k.envelope.Sender, Incarnation: k.envelope.Incarnation}
 }
--- a/internal/router/fake_test.go
+++ b/internal/router/fake_test.go
@@ -92,7 +92,7 @@
 func (f *fakeFleet) Envelope() *rpc.Envelope {
 	return &rpc.Envelope{Sender: "127.0.0.1:1", Incarnation: 1}
 }
-func (f *fakeFleet) Heard(*rpc.Envelope)           {}
+func (f *fakeFleet) ReceiveEnvelope(*rpc.Envelope) {}
 func (f *fakeFleet) CallFailed(fleet.Address)      {}
 func (f *fakeFleet) SetLeaving(bool)               {}
 func (f *fakeFleet) SetReady()                     {}
--- a/internal/router/shell_control.go
+++ b/internal/router/shell_control.go
@@ -29,8 +29,8 @@
 	Changed() <-chan struct{}
 	// Envelope returns this node's envelope for a control message.
 	Envelope() *rpc.Envelope
-	// Heard takes in the envelope of another node.
-	Heard(envelope *rpc.Envelope)
+	// ReceiveEnvelope takes in the envelope of another node.
+	ReceiveEnvelope(envelope *rpc.Envelope)
 	// CallFailed counts a control call to a peer that got no answer.
 	CallFailed(peer fleet.Address)
 	// SetLeaving tells whether this node takes new work.
@@ -70,7 +70,7 @@
 	if envelope == nil || envelope.Sender == "" {
 		return
 	}
-	a.fleet.Heard(envelope)
+	a.fleet.ReceiveEnvelope(envelope)
 	a.report(AgentHeard{
 		Agent:       fleet.Address(envelope.Sender),
 		Incarnation: envelope.Incarnation,
--- a/internal/spread/circle.go
+++ b/internal/spread/circle.go
@@ -39,7 +39,7 @@
 	}
 	watchers := membership.Watchers(self.Zone, candidates, config.WatchersPerZone)
 	made.watches = membership.Contains(watchers, self.Control)
-	made.keeps = membership.Contains(membership.Reconcilers(candidates, config.Keepers), self.Control)
+	made.keeps = membership.Contains(membership.Reconcilers(candidates, config.Reconcilers), self.Control)
 	return made
 }
 
--- a/internal/spread/command.go
+++ b/internal/spread/command.go
@@ -68,8 +68,8 @@
 // RegisterEnded.
 type Register struct{ Record membership.Record }
 
-// RevisionRose tells that a document has a new revision in force.
-type RevisionRose struct {
+// RevisionAdvanced tells that a document has a new revision in force.
+type RevisionAdvanced struct {
 	Document DocumentID
 	Revision uint64
 }
@@ -83,21 +83,21 @@
 // Joined tells that the node has heard enough to act on its documents.
 type Joined struct{}
 
-// DeltaRefused tells that a peer sent a delta that cannot be applied.
-type DeltaRefused struct {
+// DeltaRejected tells that a peer sent a delta that cannot be applied.
+type DeltaRejected struct {
 	Document DocumentID
 	From     fleet.Address
 	Err      error
 }
 
-func (Sync) isCommand()            {}
-func (Reply) isCommand()           {}
-func (Load) isCommand()            {}
-func (Watch) isCommand()           {}
-func (ReadVMs) isCommand()         {}
-func (WriteRecord) isCommand()     {}
-func (Register) isCommand()        {}
-func (RevisionRose) isCommand()    {}
-func (VerdictsChanged) isCommand() {}
-func (Joined) isCommand()          {}
-func (DeltaRefused) isCommand()    {}
+func (Sync) isCommand()             {}
+func (Reply) isCommand()            {}
+func (Load) isCommand()             {}
+func (Watch) isCommand()            {}
+func (ReadVMs) isCommand()          {}
+func (WriteRecord) isCommand()      {}
+func (Register) isCommand()         {}
+func (RevisionAdvanced) isCommand() {}
+func (VerdictsChanged) isCommand()  {}
+func (Joined) isCommand()           {}
+func (DeltaRejected) isCommand()    {}
--- a/internal/spread/event.go
+++ b/internal/spread/event.go
@@ -24,11 +24,11 @@
 // Event is an input of World.
 type Event interface{ isEvent() }
 
-// Heard brings the envelope of any control message of a peer.
-type Heard struct{ Envelope *rpc.Envelope }
+// EnvelopeReceived brings the envelope of any control message of a peer.
+type EnvelopeReceived struct{ Envelope *rpc.Envelope }
 
-// SyncArrived brings a peer's request; the reply is to carry the token.
-type SyncArrived struct {
+// SyncReceived brings a peer's request; the reply is to carry the token.
+type SyncReceived struct {
 	Token   uint64
 	Request *rpc.SyncRequest
 }
@@ -74,12 +74,12 @@
 // VerdictReached brings a verdict that this node reached.
 type VerdictReached struct{ Verdict *rpc.Verdict }
 
-func (Heard) isEvent()          {}
-func (SyncArrived) isEvent()    {}
-func (SyncEnded) isEvent()      {}
-func (LoadEnded) isEvent()      {}
-func (WatchEnded) isEvent()     {}
-func (VMsRead) isEvent()        {}
-func (RegisterEnded) isEvent()  {}
-func (LeavingSet) isEvent()     {}
-func (VerdictReached) isEvent() {}
+func (EnvelopeReceived) isEvent() {}
+func (SyncReceived) isEvent()     {}
+func (SyncEnded) isEvent()        {}
+func (LoadEnded) isEvent()        {}
+func (WatchEnded) isEvent()       {}
+func (VMsRead) isEvent()          {}
+func (RegisterEnded) isEvent()    {}
+func (LeavingSet) isEvent()       {}
+func (VerdictReached) isEvent()   {}
--- a/internal/spread/manager.go
+++ b/internal/spread/manager.go
@@ -45,7 +45,7 @@
 	options   Options
 	config    Config
 	platform  platform.API
-	stamp     *Stamp
+	stamp     *EnvelopeSource
 	tracker   *membership.Tracker
 	directory *membership.Directory
 	replicas  [documentCount]Replica
@@ -69,7 +69,7 @@
 	m := &Manager{
 		options:   options,
 		config:    config,
-		stamp:     NewStamp(config.Self, options.Settings, directory),
+		stamp:     NewEnvelopeSource(config.Self, options.Settings, directory),
 		tracker:   membership.NewTracker(directory),
 		directory: directory,
 		replicas:  [documentCount]Replica{options.Settings, directory},
@@ -79,8 +79,8 @@
 	}
 	m.metrics = newMetrics(options.Registerer, m)
 	m.platform = countingAPI{API: options.Platform, metrics: m.metrics}
-	world := NewWorld(config, Parts{
-		Stamp: m.stamp, Tracker: m.tracker, Directory: directory, Settings: options.Settings,
+	world := NewWorld(config, Dependencies{
+		Envelopes: m.stamp, Tracker: m.tracker, Directory: directory, Settings: options.Settings,
 	})
 	m.loop = tick.NewLoop[Event, Command](world, inputQueue, m.execute)
 	return m
@@ -164,8 +164,8 @@
 // Envelope returns this node's envelope for a control message.
 func (m *Manager) Envelope() *rpc.Envelope { return m.stamp.Envelope() }
 
-// Heard takes in the envelope of another node's control message.
-func (m *Manager) Heard(envelope *rpc.Envelope) {
+// ReceiveEnvelope takes in the envelope of another node's control message.
+func (m *Manager) ReceiveEnvelope(envelope *rpc.Envelope) {
 	sender := fleet.Address(envelope.GetSender())
 	if sender == "" || sender == m.config.Self.Control {
 		return
@@ -174,7 +174,7 @@
 		m.tracker.Observe(sender, wordOf(envelope), time.Now())
 		return
 	}
-	m.loop.Send(Heard{Envelope: envelope})
+	m.loop.Send(EnvelopeReceived{Envelope: envelope})
 }
 
 // CallFailed counts a control call to a peer that got no answer.
--- a/internal/spread/manager_test.go
+++ b/internal/spread/manager_test.go
@@ -73,7 +73,7 @@
 			Self:  fleet.Node{VM: fmt.Sprintf("vm-%d", index), Control: address, Zone: "zone", Incarnation: uint64(index + 1)},
 			Seeds: seeds,
 			// Short, so that the test need not wait long after the outage.
-			MostBackoff: 300 * time.Millisecond,
+			MaxBackoff: 300 * time.Millisecond,
 		},
 		Settings: node.settings, Platform: api, Peers: pool, Registerer: registry, Logger: logger,
 	})
--- a/internal/spread/network_test.go
+++ b/internal/spread/network_test.go
@@ -83,7 +83,7 @@
 
 // ask hands a request to a world and returns its reply.
 func (s *simulation) ask(to *simNode, request *rpc.SyncRequest) *rpc.SyncReply {
-	commands, _ := to.world.Step(s.now, []Event{SyncArrived{Request: request}})
+	commands, _ := to.world.Step(s.now, []Event{SyncReceived{Request: request}})
 	s.check(to)
 	var reply *rpc.SyncReply
 	for _, command := range commands {
--- a/internal/spread/shell_execute.go
+++ b/internal/spread/shell_execute.go
@@ -38,7 +38,7 @@
 		m.call(func(ctx context.Context) Event { return m.register(ctx, command) })
 	case WriteRecord:
 		m.call(func(ctx context.Context) Event { return m.writeRecord(ctx, command) })
-	case RevisionRose:
+	case RevisionAdvanced:
 		event.RevisionAdvanced.Log(m.options.Logger, logrus.Fields{
 			"document": command.Document.String(), "revision": command.Revision,
 		})
@@ -49,7 +49,7 @@
 		event.Joined.Log(m.options.Logger, nil)
 		close(m.joined)
 		m.notify()
-	case DeltaRefused:
+	case DeltaRejected:
 		event.DeltaRejected.Log(m.options.Logger, logrus.Fields{
 			"document": command.Document.String(), "peer": string(command.From), "error": command.Err.Error(),
 		})
--- a/internal/spread/shell_server.go
+++ b/internal/spread/shell_server.go
@@ -54,7 +54,7 @@
 	}
 	token, reply := m.replies.open()
 	defer m.replies.close(token)
-	if !m.loop.Send(SyncArrived{Token: token, Request: request}) {
+	if !m.loop.Send(SyncReceived{Token: token, Request: request}) {
 		return nil, twirp.NewError(twirp.Unavailable, "this node is stopping")
 	}
 	select {
@@ -70,7 +70,7 @@
 // Status implements rpc.Peer.
 func (m *Manager) Status(_ context.Context, request *rpc.StatusRequest) (*rpc.StatusReply, error) {
 	if request.GetEnvelope() != nil {
-		m.Heard(request.GetEnvelope())
+		m.ReceiveEnvelope(request.GetEnvelope())
 	}
 	status := &rpc.StatusReply{}
 	if m.options.Status != nil {
--- a/internal/spread/simulation_test.go
+++ b/internal/spread/simulation_test.go
@@ -94,8 +94,8 @@
 		Seed:  s.random.Uint64(),
 		// Most nodes must not watch, so that news has to come from peers.
 		WatchersPerZone: 1,
-	}, Parts{
-		Stamp:     NewStamp(node.self, node.replica, directory),
+	}, Dependencies{
+		Envelopes: NewEnvelopeSource(node.self, node.replica, directory),
 		Tracker:   membership.NewTracker(directory),
 		Directory: directory,
 		Settings:  node.replica,
--- a/internal/spread/stamp.go
+++ b/internal/spread/stamp.go
@@ -7,9 +7,9 @@
 	"github.com/bluebellchute/bluebellchute/internal/rpc"
 )
 
-// Stamp makes this node's envelopes. It is safe for concurrent use, so that
+// EnvelopeSource makes this node's envelopes. It is safe for concurrent use, so that
 // every control message can be stamped without asking the world.
-type Stamp struct {
+type EnvelopeSource struct {
 	self      fleet.Node
 	documents [documentCount]Document
 
@@ -19,13 +19,13 @@
 	digest         uint64
 }
 
-// NewStamp returns the stamp of a node with its documents.
-func NewStamp(self fleet.Node, settings, members Document) *Stamp {
-	return &Stamp{self: self, documents: [documentCount]Document{settings, members}}
+// NewEnvelopeSource returns the stamp of a node with its documents.
+func NewEnvelopeSource(self fleet.Node, settings, members Document) *EnvelopeSource {
+	return &EnvelopeSource{self: self, documents: [documentCount]Document{settings, members}}
 }
 
 // Envelope returns an envelope for one message.
-func (s *Stamp) Envelope() *rpc.Envelope {
+func (s *EnvelopeSource) Envelope() *rpc.Envelope {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return &rpc.Envelope{
@@ -40,7 +40,7 @@
 }
 
 // SetLeaving notes whether the node takes no new work and reports a change.
-func (s *Stamp) SetLeaving(leaving bool) bool {
+func (s *EnvelopeSource) SetLeaving(leaving bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.leaving == leaving {
@@ -52,7 +52,7 @@
 }
 
 // setDigest notes the digest of the verdicts.
-func (s *Stamp) setDigest(digest uint64) {
+func (s *EnvelopeSource) setDigest(digest uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.digest = digest
@@ -60,7 +60,7 @@
 
 // level tells whether an envelope has the same revisions and verdicts as this
 // node, so that it is no news.
-func (s *Stamp) level(envelope *rpc.Envelope) bool {
+func (s *EnvelopeSource) level(envelope *rpc.Envelope) bool {
 	own := s.Envelope()
 	return envelope.GetSettingsRevision() == own.GetSettingsRevision() &&
 		envelope.GetMembersVersion() == own.GetMembersVersion() &&
--- a/internal/spread/system_peer.go
+++ b/internal/spread/system_peer.go
@@ -49,7 +49,7 @@
 			continue
 		}
 		if _, err := document.replica.Apply(delta); err != nil {
-			w.emit(DeltaRefused{Document: document.id, From: from, Err: err})
+			w.emit(DeltaRejected{Document: document.id, From: from, Err: err})
 		}
 	}
 	w.verdicts.merge(message.GetVerdicts(), w.now)
@@ -170,7 +170,7 @@
 	if settings.replica.Revision() > settings.told || w.verdicts.news {
 		return w.pushedAt.Add(w.config.PushInterval)
 	}
-	return w.pushedAt.Add(w.config.MembersInterval)
+	return w.pushedAt.Add(w.config.MembersPushInterval)
 }
 
 // noteRevisions reports revisions that have risen, and tells whether there are
@@ -182,7 +182,7 @@
 		news = news || revision > document.told
 		if revision > document.noted {
 			document.noted = revision
-			w.emit(RevisionRose{Document: document.id, Revision: revision})
+			w.emit(RevisionAdvanced{Document: document.id, Revision: revision})
 		}
 	}
 	return news
@@ -246,7 +246,7 @@
 		peer, ok = lo.First(sample(w.random, w.seeds(), 1, w.idle))
 	}
 	w.exchangeWith = peer
-	w.partnerUntil = now.Add(w.config.PartnerTime)
+	w.partnerUntil = now.Add(w.config.PartnerTTL)
 	return peer, ok
 }
 
--- a/internal/spread/system_platform.go
+++ b/internal/spread/system_platform.go
@@ -97,7 +97,7 @@
 // backOff delays the next call after a failure, longer each time, so that a
 // platform that comes back is not overrun.
 func (w *World) backOff(state *platformState) {
-	delay := min(w.config.MostBackoff, w.config.LeastBackoff<<min(state.failures, maxDoublings))
+	delay := min(w.config.MaxBackoff, w.config.MinBackoff<<min(state.failures, maxDoublings))
 	state.failures++
 	state.retryAt = w.now.Add(w.jittered(delay))
 }
--- a/internal/spread/system_records.go
+++ b/internal/spread/system_records.go
@@ -24,14 +24,14 @@
 		return
 	}
 	w.keep.busy = true
-	w.keep.at = now.Add(w.jittered(w.config.KeepInterval))
+	w.keep.at = now.Add(w.jittered(w.config.ReconcileInterval))
 	w.emit(ReadVMs{})
 }
 
 func (w *World) takeVMs(event VMsRead) {
 	w.keep.busy = false
 	if event.Err != nil {
-		w.keep.at = w.now.Add(w.jittered(w.config.MostBackoff))
+		w.keep.at = w.now.Add(w.jittered(w.config.MaxBackoff))
 		return
 	}
 	records, _ := w.directory.Records()
@@ -94,7 +94,7 @@
 	state := &w.registration
 	state.busy = false
 	if event.Err != nil {
-		delay := min(w.config.MostBackoff, w.config.LeastBackoff<<min(state.failures, maxDoublings))
+		delay := min(w.config.MaxBackoff, w.config.MinBackoff<<min(state.failures, maxDoublings))
 		state.failures++
 		state.retryAt = w.now.Add(w.jittered(delay))
 		return
--- a/internal/spread/world.go
+++ b/internal/spread/world.go
@@ -20,7 +20,7 @@
 type World struct {
 	config    Config
 	random    *rand.Rand
-	stamp     *Stamp
+	stamp     *EnvelopeSource
 	tracker   *membership.Tracker
 	directory *membership.Directory
 	documents [documentCount]*document
@@ -51,21 +51,21 @@
 // refreshInterval is the time between two looks for suspicions that ended.
 const refreshInterval = time.Second
 
-// Parts are what a World works on. They are shared with the shell.
-type Parts struct {
-	Stamp     *Stamp
+// Dependencies are what a World works on. They are shared with the shell.
+type Dependencies struct {
+	Envelopes *EnvelopeSource
 	Tracker   *membership.Tracker
 	Directory *membership.Directory
 	Settings  Replica
 }
 
 // NewWorld returns the world of a node that has just started.
-func NewWorld(config Config, parts Parts) *World {
+func NewWorld(config Config, parts Dependencies) *World {
 	config = config.withDefaults()
 	w := &World{
 		config:    config,
 		random:    rand.New(rand.NewPCG(config.Seed, config.Self.Incarnation)),
-		stamp:     parts.Stamp,
+		stamp:     parts.Envelopes,
 		tracker:   parts.Tracker,
 		directory: parts.Directory,
 		links:     tick.NewTable[fleet.Address, link](),
@@ -114,9 +114,9 @@
 
 func (w *World) take(event Event) {
 	switch event := event.(type) {
-	case Heard:
+	case EnvelopeReceived:
 		w.hear(event.Envelope)
-	case SyncArrived:
+	case SyncReceived:
 		w.takeIntroduction(event.Request.GetIntroduction())
 		w.takeSync(event.Request)
 		w.emit(Reply{Token: event.Token, Reply: w.replyTo(event.Request.GetEnvelope())})
--- a/internal/spread/world_test.go
+++ b/internal/spread/world_test.go
@@ -25,8 +25,8 @@
 func newDesk(seeds ...fleet.Address) *desk {
 	self := fleet.Node{VM: "vm-0", Control: "10.0.0.0:1", Zone: "zone-0", Incarnation: 1}
 	replica, directory := &fakeReplica{}, membership.NewDirectory()
-	return &desk{replica: replica, now: time.Unix(1000, 0), world: NewWorld(Config{Self: self, Seeds: seeds}, Parts{
-		Stamp: NewStamp(self, replica, directory), Tracker: membership.NewTracker(directory),
+	return &desk{replica: replica, now: time.Unix(1000, 0), world: NewWorld(Config{Self: self, Seeds: seeds}, Dependencies{
+		Envelopes: NewEnvelopeSource(self, replica, directory), Tracker: membership.NewTracker(directory),
 		Directory: directory, Settings: replica,
 	})}
 }
@@ -113,7 +113,7 @@
 func TestPullRetries(t *testing.T) {
 	desk := newDesk()
 	desk.step(0, loaded...)
-	claim := Heard{Envelope: &rpc.Envelope{Sender: "10.0.0.1:1", SettingsRevision: 9}}
+	claim := EnvelopeReceived{Envelope: &rpc.Envelope{Sender: "10.0.0.1:1", SettingsRevision: 9}}
 	pulls := only[Sync](desk.step(0, claim, claim))
 	for range 100 {
 		pulls = append(pulls, only[Sync](desk.step(time.Millisecond, answer("10.0.0.1:1", 9, nil)))...)
