--- a/cmd/measure-spread/edit.go
+++ b/cmd/measure-spread/edit.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		return editFigures{}, err
 	}
-	editor := settings.NewEditor(f.store, settings.DefaultRetry())
+	editor := settings.NewEditor(f.store, settings.DefaultRetryPolicy())
 	weight := []string{"2", "3"}[number%2]
 	result := editor.Submit(ctx, settings.Edit{Operator: "measure-spread", Reason: "measurement", Changes: []settings.Change{
 		{Op: settings.OpSet, Path: teamOf(0), Key: settings.KeyWeight, After: weight},
--- a/internal/ctl/app.go
+++ b/internal/ctl/app.go
@@ -31,7 +31,7 @@
 	Random         io.Reader // for API keys
 	OpenPlatform   func(address fleet.Address) platform.API
 	OpenNodes      func(token string) Nodes
-	Retry          settings.Retry // of calls to the platform
+	Retry          settings.RetryPolicy // of calls to the platform
 	Wait           func(ctx context.Context, delay time.Duration) error
 	PrepareEditor  func(editor *settings.Editor) // may be nil
 }
@@ -45,7 +45,7 @@
 			return platform.NewClient(address, platform.ClientOptions{})
 		},
 		OpenNodes: newControlNodes,
-		Retry:     settings.DefaultRetry(),
+		Retry:     settings.DefaultRetryPolicy(),
 		Wait:      wait,
 	}
 }
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -162,7 +162,7 @@
 	app.Stdin, app.Stdout, app.Stderr = strings.NewReader(w.stdin), &stdout, &stderr
 	app.OpenPlatform = func(fleet.Address) platform.API { return w.api }
 	app.OpenNodes = func(string) Nodes { return w.nodes }
-	app.Retry = settings.Retry{Attempts: 3, CallTimeout: time.Minute, Pause: func(ctx context.Context, _ int) error { return ctx.Err() }}
+	app.Retry = settings.RetryPolicy{MaxAttempts: 3, CallTimeout: time.Minute, Backoff: func(ctx context.Context, _ int) error { return ctx.Err() }}
 	rounds := 0
 	app.Wait = func(context.Context, time.Duration) error {
 		if rounds++; rounds > 3 {
--- a/internal/ctl/edit.go
+++ b/internal/ctl/edit.go
@@ -59,11 +59,11 @@
 		return s.showPlan(snapshot.Tree.Revision(), checked)
 	}
 	result := editor.Submit(ctx, settings.Edit{
-		Operator: options.operator(),
-		Reason:   options.Reason,
-		Changes:  changes,
-		Expect:   options.Expect,
-		Base:     lo.ToPtr(snapshot.Tree.Revision()),
+		Operator:         options.operator(),
+		Reason:           options.Reason,
+		Changes:          changes,
+		ExpectedRevision: options.Expect,
+		BaseRevision:     lo.ToPtr(snapshot.Tree.Revision()),
 	})
 	if err := s.showResult(result, secret); err != nil {
 		return err
@@ -131,9 +131,9 @@
 		fmt.Fprintf(s.Stdout, "accepted as revision %d\n", result.Revision)
 		return changesTable(result.Changes).write(s.Stdout)
 	}
-	if len(result.Others) > 0 {
+	if len(result.Conflicts) > 0 {
 		fmt.Fprintln(s.Stdout, "conflict with:")
-		return recordsTable(result.Others).write(s.Stdout)
+		return recordsTable(result.Conflicts).write(s.Stdout)
 	}
 	return nil
 }
--- a/internal/ctl/settings_keys.go
+++ b/internal/ctl/settings_keys.go
@@ -30,13 +30,13 @@
 		people.add(keyCells(key)...)
 		shown = append(shown, keyJSON{
 			Name: key.Name, Type: key.Type, Unit: key.Unit, Default: key.Default, Allowed: key.Allowed(),
-			Nodes: key.Nodes, Inherited: key.Inherited, Doc: key.Doc,
+			Nodes: key.NodeKinds, Inherited: key.Inherited, Doc: key.Doc,
 		})
 	}
 	return s.show(shown, people)
 }
 
 func keyCells(key settings.Key) []string {
-	nodes := lo.Map(key.Nodes, func(kind settings.NodeKind, _ int) string { return string(kind) })
+	nodes := lo.Map(key.NodeKinds, func(kind settings.NodeKind, _ int) string { return string(kind) })
 	return []string{string(key.Name), orDash(key.Default), orDash(key.Unit), key.Allowed(), strings.Join(nodes, ", "), key.Doc}
 }
--- a/internal/settings/audit.go
+++ b/internal/settings/audit.go
@@ -34,12 +34,12 @@
 	if err != nil || count == 0 {
 		return head, err
 	}
-	block := &auditBlock{Previous: head.LastAudit, Records: head.Recent[:count]}
+	block := &auditBlock{Previous: head.LastAuditKey, Records: head.Recent[:count]}
 	data, err := encode(block)
 	if err != nil {
 		return head, err
 	}
-	key := auditKey(head.Audited + 1)
+	key := auditKey(head.AuditedRevision + 1)
 	existed, err := r.create(ctx, key, data)
 	if err != nil {
 		return head, err
@@ -50,15 +50,15 @@
 			return head, err
 		}
 	}
-	if block.first() != head.Audited+1 {
+	if block.first() != head.AuditedRevision+1 {
 		return head, errors.Errorf("%s: begins with revision %d", key, block.first())
 	}
 	if block.last() > head.Revision {
 		return head, errStale
 	}
-	head.Recent = head.Recent[block.last()-head.Audited:]
-	head.Audited = block.last()
-	head.LastAudit = key
+	head.Recent = head.Recent[block.last()-head.AuditedRevision:]
+	head.AuditedRevision = block.last()
+	head.LastAuditKey = key
 	return head, nil
 }
 
@@ -115,7 +115,7 @@
 }
 
 func (r *Reader) visitBack(ctx context.Context, head *Head, visit func(Record) bool) error {
-	records, previous := head.Recent, head.LastAudit
+	records, previous := head.Recent, head.LastAuditKey
 	for {
 		for _, record := range slices.Backward(records) {
 			if !visit(record) {
--- a/internal/settings/bootstrap.go
+++ b/internal/settings/bootstrap.go
@@ -14,10 +14,10 @@
 		return Result{Outcome: OutcomeNotAccepted, Err: err}
 	}
 	var none uint64
-	return NewEditor(api, DefaultRetry()).Submit(ctx, Edit{
-		Operator: operator,
-		Reason:   "first settings",
-		Changes:  Diff(NewTree(), tree),
-		Expect:   &none,
+	return NewEditor(api, DefaultRetryPolicy()).Submit(ctx, Edit{
+		Operator:         operator,
+		Reason:           "first settings",
+		Changes:          Diff(NewTree(), tree),
+		ExpectedRevision: &none,
 	})
 }
--- a/internal/settings/calls.go
+++ b/internal/settings/calls.go
@@ -10,11 +10,11 @@
 	"github.com/bluebellchute/bluebellchute/internal/platform"
 )
 
-// Retry says how calls to the platform are repeated.
-type Retry struct {
-	Attempts    int                                          // of one call, or of one edit in conflicts
+// RetryPolicy says how calls to the platform are repeated.
+type RetryPolicy struct {
+	MaxAttempts int                                          // of one call, or of one edit in conflicts
 	CallTimeout time.Duration                                // of one attempt
-	Pause       func(ctx context.Context, attempt int) error // waits before a repeat
+	Backoff     func(ctx context.Context, attempt int) error // waits before a repeat
 }
 
 // Default limits of Retry.
@@ -25,9 +25,9 @@
 	longestPause       = time.Second
 )
 
-// DefaultRetry repeats for some seconds with growing pauses.
-func DefaultRetry() Retry {
-	return Retry{Attempts: defaultAttempts, CallTimeout: defaultCallTimeout, Pause: pause}
+// DefaultRetryPolicy repeats for some seconds with growing pauses.
+func DefaultRetryPolicy() RetryPolicy {
+	return RetryPolicy{MaxAttempts: defaultAttempts, CallTimeout: defaultCallTimeout, Backoff: pause}
 }
 
 // pause waits a random part of a time that doubles. Without the random part,
@@ -56,15 +56,15 @@
 // calls repeats calls to the platform.
 type calls struct {
 	api   platform.API
-	retry Retry
+	retry RetryPolicy
 }
 
 // repeat runs attempt until it succeeds, reports a final error, the attempts
 // are used up or the context ends.
 func (c calls) repeat(ctx context.Context, attempt func() (final bool, err error)) error {
 	var last error
-	for count := range c.retry.Attempts {
-		if count > 0 && c.retry.Pause(ctx, count) != nil {
+	for count := range c.retry.MaxAttempts {
+		if count > 0 && c.retry.Backoff(ctx, count) != nil {
 			return last
 		}
 		final, err := attempt()
--- a/internal/settings/collect.go
+++ b/internal/settings/collect.go
@@ -28,15 +28,15 @@
 		return
 	}
 	// A failure costs space only; the next search finds the same chunks.
-	_, _ = s.reader.Collect(ctx, &head)
+	_, _ = s.reader.CollectGarbage(ctx, &head)
 }
 
-// Collect removes chunk objects that no head refers to nor ever will, and
+// CollectGarbage removes chunk objects that no head refers to nor ever will, and
 // returns how many. Removing one too many would lose a part of the tree: a
 // chunk is made for one revision, and only the head of that revision can take
 // it up. So a chunk of a revision that head has passed, and that head does not
 // refer to, is out of use for good, also when head itself is out of date.
-func (r *Reader) Collect(ctx context.Context, head *Head) (int, error) {
+func (r *Reader) CollectGarbage(ctx context.Context, head *Head) (int, error) {
 	objects, _, err := r.api.List(ctx, ChunkPrefix)
 	if err != nil {
 		return 0, errors.WithStack(err)
--- a/internal/settings/commit.go
+++ b/internal/settings/commit.go
@@ -20,8 +20,8 @@
 func (s *submission) commit(ctx context.Context, base Snapshot, next *proposal) (Result, bool) {
 	uncertain := false
 	var last error
-	for attempt := range s.reader.retry.Attempts {
-		if attempt > 0 && s.reader.retry.Pause(ctx, attempt) != nil {
+	for attempt := range s.reader.retry.MaxAttempts {
+		if attempt > 0 && s.reader.retry.Backoff(ctx, attempt) != nil {
 			break
 		}
 		err := s.update(ctx, base, next)
--- a/internal/settings/editor.go
+++ b/internal/settings/editor.go
@@ -37,22 +37,22 @@
 	Operator string
 	Reason   string
 	Changes  []Change
-	// Expect is the revision that the tree must have; nil accepts any.
-	Expect *uint64
-	// Base is the revision that the operator has seen. An edit made since
+	// ExpectedRevision is the revision that the tree must have; nil accepts any.
+	ExpectedRevision *uint64
+	// BaseRevision is the revision that the operator has seen. An edit made since
 	// then to the same keys is a conflict. Nil takes the revision at which
 	// Submit first reads the tree.
-	Base *uint64
+	BaseRevision *uint64
 }
 
 // Result tells how a submitted edit ended.
 type Result struct {
-	Outcome  Outcome  `json:"outcome"`
-	ID       EditID   `json:"edit"`
-	Revision uint64   `json:"revision,omitempty"` // of the accepted edit; the only one it can have when the outcome is unknown
-	Changes  []Change `json:"changes,omitempty"`  // of the accepted edit, with the values from before
-	Others   []Record `json:"others,omitempty"`   // the edits that it is in conflict with
-	Err      error    `json:"-"`                  // why it was not accepted, or why that is unknown
+	Outcome   Outcome  `json:"outcome"`
+	ID        EditID   `json:"edit"`
+	Revision  uint64   `json:"revision,omitempty"` // of the accepted edit; the only one it can have when the outcome is unknown
+	Changes   []Change `json:"changes,omitempty"`  // of the accepted edit, with the values from before
+	Conflicts []Record `json:"others,omitempty"`   // the edits that it is in conflict with
+	Err       error    `json:"-"`                  // why it was not accepted, or why that is unknown
 }
 
 // Editor submits edits. It is not safe for concurrent use; operators have one
@@ -65,7 +65,7 @@
 }
 
 // NewEditor returns an editor of the platform's settings.
-func NewEditor(api platform.API, retry Retry) *Editor {
+func NewEditor(api platform.API, retry RetryPolicy) *Editor {
 	return &Editor{Now: time.Now, NewID: uuid.NewV7, reader: NewReader(api, retry)}
 }
 
@@ -96,7 +96,7 @@
 }
 
 func (s *submission) run(ctx context.Context) Result {
-	for range s.reader.retry.Attempts {
+	for range s.reader.retry.MaxAttempts {
 		base, err := s.reader.Read(ctx, s.atLeast)
 		if err != nil {
 			return s.notAccepted(fleet.Wrap(err, fleet.StepEdit, ""))
@@ -125,13 +125,13 @@
 		s.atLeast = base.Version + 1
 		s.discard(ctx, next)
 	}
-	return s.notAccepted(fleet.Errorf(fleet.StepUpdate, "", "other edits came first at each of %d attempts", s.reader.retry.Attempts))
+	return s.notAccepted(fleet.Errorf(fleet.StepUpdate, "", "other edits came first at each of %d attempts", s.reader.retry.MaxAttempts))
 }
 
 // ahead reports whether the operator has seen a newer tree than was read, so
 // that the read was out of date.
 func (s *submission) ahead(base Snapshot) bool {
-	for _, seen := range []*uint64{s.edit.Base, s.edit.Expect} {
+	for _, seen := range []*uint64{s.edit.BaseRevision, s.edit.ExpectedRevision} {
 		if seen != nil && *seen > base.Head.Revision {
 			return true
 		}
@@ -149,7 +149,7 @@
 		return Result{}, false
 	}
 	return Result{
-		Outcome: OutcomeConflict, ID: s.id, Others: others,
+		Outcome: OutcomeConflict, ID: s.id, Conflicts: others,
 		Err: fleet.Errorf(fleet.StepUpdate, "", "another edit came first"),
 	}, true
 }
@@ -157,13 +157,13 @@
 // unseen returns the edits that the operator has not seen and that stand
 // against this one.
 func (s *submission) unseen(ctx context.Context, head *Head) ([]Record, error) {
-	if s.edit.Expect != nil {
-		return s.reader.after(ctx, head, *s.edit.Expect)
+	if s.edit.ExpectedRevision != nil {
+		return s.reader.after(ctx, head, *s.edit.ExpectedRevision)
 	}
-	if s.edit.Base == nil {
-		s.edit.Base = &head.Revision
+	if s.edit.BaseRevision == nil {
+		s.edit.BaseRevision = &head.Revision
 	}
-	others, err := s.reader.after(ctx, head, *s.edit.Base)
+	others, err := s.reader.after(ctx, head, *s.edit.BaseRevision)
 	return overlapping(others, s.edit.Changes), err
 }
 
--- a/internal/settings/head.go
+++ b/internal/settings/head.go
@@ -42,33 +42,33 @@
 // Head is the object whose conditional update accepts an edit. Everything else
 // that it refers to is written before and never changed.
 type Head struct {
-	Revision  uint64     `json:"revision"`
-	Audited   uint64     `json:"audited"`              // edits up to this revision are in audit objects
-	LastAudit string     `json:"last_audit,omitempty"` // key of the newest audit object
-	Recent    []Record   `json:"recent"`               // revisions Audited+1 to Revision
-	Chunks    []ChunkRef `json:"chunks"`
+	Revision        uint64     `json:"revision"`
+	AuditedRevision uint64     `json:"audited"`              // edits up to this revision are in audit objects
+	LastAuditKey    string     `json:"last_audit,omitempty"` // key of the newest audit object
+	Recent          []Record   `json:"recent"`               // revisions Audited+1 to Revision
+	Chunks          []ChunkRef `json:"chunks"`
 }
 
 // since returns the edits after a revision. It reports false when some of them
 // have left the head.
 func (h *Head) since(revision uint64) ([]Record, bool) {
-	if revision < h.Audited {
+	if revision < h.AuditedRevision {
 		return nil, false
 	}
 	if revision >= h.Revision {
 		return nil, true
 	}
-	return h.Recent[revision-h.Audited:], true
+	return h.Recent[revision-h.AuditedRevision:], true
 }
 
 // check returns an error when the head contradicts itself. A hole in the edits
 // would make nodes apply them to the wrong tree.
 func (h *Head) check() error {
-	if h.Audited+uint64(len(h.Recent)) != h.Revision {
-		return fmt.Errorf("head of revision %d has %d edits after revision %d", h.Revision, len(h.Recent), h.Audited)
+	if h.AuditedRevision+uint64(len(h.Recent)) != h.Revision {
+		return fmt.Errorf("head of revision %d has %d edits after revision %d", h.Revision, len(h.Recent), h.AuditedRevision)
 	}
 	for place, record := range h.Recent {
-		if want := h.Audited + uint64(place) + 1; record.Revision != want {
+		if want := h.AuditedRevision + uint64(place) + 1; record.Revision != want {
 			return fmt.Errorf("head of revision %d has edit %d in the place of %d", h.Revision, record.Revision, want)
 		}
 	}
--- a/internal/settings/key.go
+++ b/internal/settings/key.go
@@ -31,7 +31,7 @@
 	Default   string     // in force where no node sets the key; empty when there is none
 	Min, Max  float64    // allowed range; durations in seconds
 	Choices   []string   // for TypeChoice
-	Nodes     []NodeKind // kinds of node that may set it
+	NodeKinds []NodeKind // kinds of node that may set it
 	Inherited bool       // in force below the node that sets it
 	Doc       string
 
@@ -43,14 +43,14 @@
 
 // Names of the keys that code refers to.
 const (
-	KeyNode            KeyName = "node"
-	KeyAPIKey          KeyName = "api_key_sha256"
-	KeyDisabled        KeyName = "disabled"
-	KeyWeight          KeyName = "weight"
-	KeyDefaultDeadline KeyName = "default_deadline"
-	KeyMaxDeadline     KeyName = "max_deadline"
-	KeySilence         KeyName = "silence_timeout"
-	KeyHeartbeat       KeyName = "heartbeat_interval"
+	KeyNode              KeyName = "node"
+	KeyAPIKey            KeyName = "api_key_sha256"
+	KeyDisabled          KeyName = "disabled"
+	KeyWeight            KeyName = "weight"
+	KeyDefaultDeadline   KeyName = "default_deadline"
+	KeyMaxDeadline       KeyName = "max_deadline"
+	KeySilenceTimeout    KeyName = "silence_timeout"
+	KeyHeartbeatInterval KeyName = "heartbeat_interval"
 )
 
 // Keys lists the registry in the order in which values are exported.
@@ -66,7 +66,7 @@
 }
 
 // AllowedAt reports whether nodes of a kind may set the key.
-func (k Key) AllowedAt(kind NodeKind) bool { return slices.Contains(k.Nodes, kind) }
+func (k Key) AllowedAt(kind NodeKind) bool { return slices.Contains(k.NodeKinds, kind) }
 
 // Allowed describes the values that the key takes.
 func (k Key) Allowed() string {
--- a/internal/settings/matrix_test.go
+++ b/internal/settings/matrix_test.go
@@ -177,8 +177,8 @@
 
 func requireConflictWith(t *testing.T, result Result, after string) {
 	t.Helper()
-	if len(result.Others) != 1 || result.Others[0].Operator != "other" || result.Others[0].Changes[0].After != after {
-		t.Fatalf("the conflict does not show the other edit: %+v", result.Others)
+	if len(result.Conflicts) != 1 || result.Conflicts[0].Operator != "other" || result.Conflicts[0].Changes[0].After != after {
+		t.Fatalf("the conflict does not show the other edit: %+v", result.Conflicts)
 	}
 }
 
@@ -322,7 +322,7 @@
 		return faultNone
 	}))
 	head, _, err := NewReader(c.shared.store, quickRetry()).ReadHead(context.Background(), 0)
-	if err != nil || head.Audited < result.Revision {
-		t.Fatalf("the edit has not moved to an audit object: audited to %d, revision %d, %v", head.Audited, result.Revision, err)
+	if err != nil || head.AuditedRevision < result.Revision {
+		t.Fatalf("the edit has not moved to an audit object: audited to %d, revision %d, %v", head.AuditedRevision, result.Revision, err)
 	}
 }
--- a/internal/settings/operators_test.go
+++ b/internal/settings/operators_test.go
@@ -189,8 +189,8 @@
 			t.Fatalf("accepted as revision %d, but %d times in the history", result.Revision, times)
 		}
 	case OutcomeConflict:
-		if times != 0 || len(result.Others) == 0 {
-			t.Fatalf("conflict with %d edits, but %d times in the history", len(result.Others), times)
+		if times != 0 || len(result.Conflicts) == 0 {
+			t.Fatalf("conflict with %d edits, but %d times in the history", len(result.Conflicts), times)
 		}
 	case OutcomeNotAccepted:
 		if times != 0 {
--- a/internal/settings/platform_test.go
+++ b/internal/settings/platform_test.go
@@ -126,10 +126,10 @@
 
 // quickRetry repeats a few times and never waits, so that tests judge nothing
 // by the clock.
-func quickRetry() Retry {
-	return Retry{
-		Attempts: 4, CallTimeout: time.Minute,
-		Pause: func(ctx context.Context, _ int) error { return ctx.Err() },
+func quickRetry() RetryPolicy {
+	return RetryPolicy{
+		MaxAttempts: 4, CallTimeout: time.Minute,
+		Backoff: func(ctx context.Context, _ int) error { return ctx.Err() },
 	}
 }
 
--- a/internal/settings/reader.go
+++ b/internal/settings/reader.go
@@ -21,7 +21,7 @@
 }
 
 // NewReader returns a reader of the platform's settings.
-func NewReader(api platform.API, retry Retry) *Reader {
+func NewReader(api platform.API, retry RetryPolicy) *Reader {
 	return &Reader{calls: calls{api: api, retry: retry}, limits: defaultLimits, chunks: make(map[string][]chunkNode)}
 }
 
--- a/internal/settings/replica_platform.go
+++ b/internal/settings/replica_platform.go
@@ -89,8 +89,8 @@
 }
 
 func loadReader(api platform.API) *Reader {
-	retry := DefaultRetry()
-	retry.Attempts = loadAttempts
-	retry.Pause = func(ctx context.Context, _ int) error { return errors.WithStack(ctx.Err()) }
+	retry := DefaultRetryPolicy()
+	retry.MaxAttempts = loadAttempts
+	retry.Backoff = func(ctx context.Context, _ int) error { return errors.WithStack(ctx.Err()) }
 	return NewReader(api, retry)
 }
--- a/internal/settings/seen_test.go
+++ b/internal/settings/seen_test.go
@@ -29,7 +29,7 @@
 		t.Run(name, func(t *testing.T) {
 			c := newMatrixCell(t)
 			c.other(test.other)
-			edit := Edit{Changes: []Change{setWeight}, Base: test.base, Expect: test.expect}
+			edit := Edit{Changes: []Change{setWeight}, BaseRevision: test.base, ExpectedRevision: test.expect}
 			result := newTestEditor(c.shared.store).Submit(t.Context(), edit)
 			if result.Outcome != test.want {
 				t.Fatalf("outcome %s, want %s: %v", result.Outcome, test.want, result.Err)
--- a/internal/settings/tree_test.go
+++ b/internal/settings/tree_test.go
@@ -91,7 +91,7 @@
 	var service ServicePolicy
 	fields := make(map[any]KeyName)
 	for _, key := range Keys() {
-		if key.Doc == "" || len(key.Nodes) == 0 {
+		if key.Doc == "" || len(key.NodeKinds) == 0 {
 			t.Errorf("%s: no description or no kind of node", key.Name)
 		}
 		if key.Default != "" && key.Check(key.Default) != nil {
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -72,7 +72,7 @@
 			mistake.Problem = "there is no such key"
 		case setting.Key != KeyNode && !key.AllowedAt(kind):
 			mistake.Problem = "the key does not apply to a node of the kind " + string(kind)
-			mistake.Allowed = "at " + lo.Reduce(key.Nodes, joinKinds, "")
+			mistake.Allowed = "at " + lo.Reduce(key.NodeKinds, joinKinds, "")
 		case setting.Key == KeyNode && path.Depth() == 0, setting.Key == KeyNode && path.isService():
 			mistake.Problem = "the kind of this node is fixed"
 		case key.Check(setting.Value) != nil:
@@ -96,7 +96,7 @@
 		if t.setsAny(path, KeyDefaultDeadline, KeyMaxDeadline) && !path.isService() {
 			mistakes = append(mistakes, checkDeadlines(path, resolved.account(path))...)
 		}
-		if t.setsAny(path, KeyHeartbeat, KeySilence) {
+		if t.setsAny(path, KeyHeartbeatInterval, KeySilenceTimeout) {
 			mistakes = append(mistakes, checkSilence(path, resolved.service(path))...)
 		}
 	}
@@ -126,7 +126,7 @@
 		return nil
 	}
 	return []Mistake{{
-		Path: path, Key: KeyHeartbeat, Value: policy.HeartbeatInterval.String(),
+		Path: path, Key: KeyHeartbeatInterval, Value: policy.HeartbeatInterval.String(),
 		Problem: "not shorter than silence_timeout",
 		Allowed: "below " + policy.SilenceTimeout.String(),
 	}}
--- a/internal/spread/manager_test.go
+++ b/internal/spread/manager_test.go
@@ -134,7 +134,7 @@
 	edit := settings.Edit{Operator: "test", Changes: []settings.Change{
 		{Op: settings.OpSet, Path: "partner/team", Key: settings.KeyWeight, After: "2"},
 	}}
-	result := settings.NewEditor(store, settings.DefaultRetry()).Submit(t.Context(), edit)
+	result := settings.NewEditor(store, settings.DefaultRetryPolicy()).Submit(t.Context(), edit)
 	if result.Outcome != settings.OutcomeAccepted {
 		t.Fatal(result)
 	}
