--- a/cmd/internal/gatewiring/gate.go
+++ b/cmd/internal/gatewiring/gate.go
@@ -81,7 +81,7 @@
 	logger    logrus.FieldLogger
 	gate      *gate.Manager
 	peers     *peering.Manager
-	follower  *platform.Follower
+	follower  *platform.Watcher
 	readiness *daemon.Readiness
 	registry  *prometheus.Registry
 	reloader  *daemon.Reloader
@@ -110,8 +110,8 @@
 	}, nil
 }
 
-func newFollower(injector do.Injector, config *gate.Config, store *platform.Store) *platform.Follower {
-	follower := platform.NewFollower(
+func newFollower(injector do.Injector, config *gate.Config, store *platform.Store) *platform.Watcher {
+	follower := platform.NewWatcher(
 		store,
 		do.MustInvoke[*knowledge.State](injector),
 		platform.Bounds{Apply: config.Bounds.ShortestBound(), Revoke: config.Bounds.Revoke, Evacuate: config.Bounds.Evacuate},
@@ -119,7 +119,7 @@
 		do.MustInvoke[logrus.FieldLogger](injector),
 	)
 	if config.Node.NewFleet {
-		follower.AwaitOthers()
+		follower.DeferFirstLists()
 	}
 	return follower
 }
@@ -131,7 +131,7 @@
 		group.Go(func() error { return s.reloader.Run(ctx) })
 	}
 	group.Go(func() error { return s.follower.Run(ctx) })
-	group.Go(func() error { return s.store.RecordCalls(ctx, s.logger) })
+	group.Go(func() error { return s.store.LogCalls(ctx, s.logger) })
 	group.Go(func() error { return s.peers.Run(ctx) })
 	group.Go(func() error { return s.gate.Run(ctx) })
 	group.Go(func() error {
