--- a/cmd/bluebell-dev/main.go
+++ b/cmd/bluebell-dev/main.go
@@ -43,7 +43,7 @@
 	defer stop()
 	if err := run(ctx, o, os.Stdout, os.Stderr); err != nil {
 		fmt.Fprintln(os.Stderr, "bluebell-dev:", err)
-		os.Exit(daemon.ExitFailed)
+		os.Exit(daemon.ExitFailure)
 	}
 }
 
--- a/cmd/bluebell-dev/status_test.go
+++ b/cmd/bluebell-dev/status_test.go
@@ -89,7 +89,7 @@
 	app := ctl.New()
 	app.Stdout, app.Stderr = &out, &problems
 	args := []string{"--output", "json", "--platform", string(welcome.Platform), "--token", controlToken, "status"}
-	if exit := app.Run(args); exit != ctl.ExitDone {
+	if exit := app.Run(args); exit != ctl.ExitSuccess {
 		t.Errorf("exit status %d: %s", exit, &problems)
 	}
 	var nodes []reported
--- a/cmd/bluebell-gate/main.go
+++ b/cmd/bluebell-gate/main.go
@@ -27,19 +27,19 @@
 // run is the whole main function. It returns the exit status.
 func run() int {
 	config := new(gate.Config)
-	verdict := daemon.ParseFlags(name, os.Args[1:], config, os.Stdout, os.Stderr)
-	if verdict.Exit {
-		return verdict.Status
+	parsed := daemon.ParseFlags(name, os.Args[1:], config, os.Stdout, os.Stderr)
+	if parsed.Exit {
+		return parsed.ExitStatus
 	}
 	debug.SetMemoryLimit(config.VM.HeapLimit())
 	debug.SetGCPercent(gcPercent)
 	logger := daemon.NewLogger(config.Log, daemon.NewAsyncWriter(os.Stdout)).WithField("node", config.Node.Name)
 	injector := do.New()
-	gatewiring.Wire(injector, config, verdict.Config, logger)
+	gatewiring.Wire(injector, config, parsed.ConfigPath, logger)
 	service, err := do.Invoke[*gatewiring.Service](injector)
 	if err != nil {
 		logger.WithError(err).Error("wiring")
-		return daemon.ExitFailed
+		return daemon.ExitFailure
 	}
-	return daemon.RunToExit(name, service, logger)
+	return daemon.RunUntilSignal(name, service, logger)
 }
--- a/cmd/internal/gatewiring/gate.go
+++ b/cmd/internal/gatewiring/gate.go
@@ -32,9 +32,9 @@
 	do.Provide(injector, newPeering)
 	do.Provide(injector, newGate)
 	do.ProvideValue(injector, &daemon.Reloader{
-		Path:   path,
-		Logger: logger,
-		Fresh:  func() any { return new(gate.Config) },
+		Path:      path,
+		Logger:    logger,
+		NewConfig: func() any { return new(gate.Config) },
 	})
 	do.Provide(injector, newService)
 }
--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -147,7 +147,7 @@
 // each server writes by itself.
 func keepsBack(name string) bool {
 	name = strings.ToLower(name)
-	if fleet.HopByHop(name) {
+	if fleet.IsHopByHop(name) {
 		return true
 	}
 	switch name {
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -45,13 +45,13 @@
 }
 
 // Validate implements inifile.Validator.
-func (c *Config) Validate() []inifile.Mistake {
-	var mistakes []inifile.Mistake
+func (c *Config) Validate() []inifile.Problem {
+	var problems []inifile.Problem
 	if c.Node.Control == c.Node.Data {
-		mistakes = append(mistakes, inifile.Mistake{Section: "node", Key: "data", Problem: "must differ from control"})
+		problems = append(problems, inifile.Problem{Section: "node", Key: "data", Message: "must differ from control"})
 	}
 	if c.Backend.Address == c.Node.Data || c.Backend.Address == c.Node.Control {
-		mistakes = append(mistakes, inifile.Mistake{Section: "backend", Key: "address", Problem: "must differ from the agent's own ports"})
+		problems = append(problems, inifile.Problem{Section: "backend", Key: "address", Message: "must differ from the agent's own ports"})
 	}
-	return mistakes
+	return problems
 }
--- a/internal/agent/take_offer.go
+++ b/internal/agent/take_offer.go
@@ -159,7 +159,7 @@
 
 // account returns the row of a client account.
 func (w *World) account(name fleet.Account) *account {
-	return w.accounts.Ensure(name, func() *account {
+	return w.accounts.GetOrCreate(name, func() *account {
 		w.weigh(name)
 		return &account{name: name, offers: make(map[fleet.Address]*offer)}
 	})
--- a/internal/ctl/app.go
+++ b/internal/ctl/app.go
@@ -32,7 +32,7 @@
 	OpenPlatform   func(address fleet.Address) platform.API
 	OpenNodes      func(token string) Nodes
 	Retry          settings.RetryPolicy // of calls to the platform
-	Wait           func(ctx context.Context, delay time.Duration) error
+	Sleep          func(ctx context.Context, delay time.Duration) error
 	PrepareEditor  func(editor *settings.Editor) // may be nil
 }
 
@@ -46,7 +46,7 @@
 		},
 		OpenNodes: newControlNodes,
 		Retry:     settings.DefaultRetryPolicy(),
-		Wait:      wait,
+		Sleep:     wait,
 	}
 }
 
@@ -70,10 +70,10 @@
 	var flagsError *flags.Error
 	switch {
 	case err == nil:
-		return ExitDone
+		return ExitSuccess
 	case errors.As(err, &flagsError) && flagsError.Type == flags.ErrHelp:
 		fmt.Fprintln(a.Stdout, err)
-		return ExitDone
+		return ExitSuccess
 	case errors.As(err, &flagsError):
 		fmt.Fprintf(a.Stderr, "bluebellctl: %v\n", err)
 		return ExitUsage
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -164,7 +164,7 @@
 	app.OpenNodes = func(string) Nodes { return w.nodes }
 	app.Retry = settings.RetryPolicy{MaxAttempts: 3, CallTimeout: time.Minute, Backoff: func(ctx context.Context, _ int) error { return ctx.Err() }}
 	rounds := 0
-	app.Wait = func(context.Context, time.Duration) error {
+	app.Sleep = func(context.Context, time.Duration) error {
 		if rounds++; rounds > 3 {
 			return context.DeadlineExceeded
 		}
--- a/internal/ctl/edit.go
+++ b/internal/ctl/edit.go
@@ -100,7 +100,7 @@
 	if statusOf(err) == ExitUsage {
 		return ExitUsage
 	}
-	return ExitFailed
+	return ExitFailure
 }
 
 // resultJSON is a result for scripts.
--- a/internal/ctl/engines_test.go
+++ b/internal/ctl/engines_test.go
@@ -25,14 +25,14 @@
 // that always is, and against rates and shares that are printed as 0 when unknown.
 func TestEnginesAreListedSlowestFirst(t *testing.T) {
 	w := newEngineWorld(t)
-	w.want(ExitDone, "ENGINE  SERVICE  ZONE  USUAL  NOW   TOKENS/S  LATE  AGE   RUNNING\n"+
+	w.want(ExitSuccess, "ENGINE  SERVICE  ZONE  USUAL  NOW   TOKENS/S  LATE  AGE   RUNNING\n"+
 		"i-2     lm       z2    1.20   1.20  27800     45%   1.5s  13\n"+
 		"i-3     other    -     1.00   1.00  -         0%    4ms   0\n"+
 		"i-1     lm       z1    0.55   1.38  61250     6%    12ms  7\n", "engines")
 	if out, _ := w.run("engines", "--service", "other"); strings.Contains(out, "i-1") || !strings.Contains(out, "i-3") {
 		t.Errorf("engines of another service are listed: %s", out)
 	}
-	w.want(ExitDone, `[{"engine":"i-2","service":"lm","zone":"z2","usual":1.2,"now":1.2,"tokens_per_s":27800,"late":0.45,"age_ns":1500000000,"running":13},`,
+	w.want(ExitSuccess, `[{"engine":"i-2","service":"lm","zone":"z2","usual":1.2,"now":1.2,"tokens_per_s":27800,"late":0.45,"age_ns":1500000000,"running":13},`,
 		"engines", "--service", "lm", "--output", "json")
 }
 
@@ -40,12 +40,12 @@
 // the name of the service is wrong.
 func TestNoEnginesAreExplained(t *testing.T) {
 	w := newEngineWorld(t)
-	w.want(ExitDone, "knows no work time of an engine of service ml; it knows 3 of other services", "engines", "--service", "ml")
-	w.want(ExitDone, "[]\n", "engines", "--service", "ml", "--output", "json")
+	w.want(ExitSuccess, "knows no work time of an engine of service ml; it knows 3 of other services", "engines", "--service", "ml")
+	w.want(ExitSuccess, "[]\n", "engines", "--service", "ml", "--output", "json")
 	w.router.engines = nil
-	w.want(ExitDone, "router "+w.address+" knows no work time of any engine", "engines")
-	w.want(ExitDone, "knows no work time of any engine", "engines", "--service", "ml")
-	w.want(ExitDone, "[]\n", "engines", "--output", "json")
+	w.want(ExitSuccess, "router "+w.address+" knows no work time of any engine", "engines")
+	w.want(ExitSuccess, "knows no work time of any engine", "engines", "--service", "ml")
+	w.want(ExitSuccess, "[]\n", "engines", "--output", "json")
 }
 
 // Guards against a listed router that is gone, or an outage of the store, hiding what the
@@ -53,15 +53,15 @@
 func TestEnginesAreAskedOfARouterThatAnswers(t *testing.T) {
 	w := newEngineWorld(t)
 	w.store.Put(platform.KindRouters, "vm-0", map[string]any{"address": "127.0.0.1:1", "zone": "z1"})
-	w.want(ExitDone, "i-2", "engines")
-	w.want(ExitFailed, "asking router 127.0.0.1:1", "engines", "--router", "127.0.0.1:1")
+	w.want(ExitSuccess, "i-2", "engines")
+	w.want(ExitFailure, "asking router 127.0.0.1:1", "engines", "--router", "127.0.0.1:1")
 	w.store.SetFaults(standin.Faults{Status: http.StatusServiceUnavailable})
-	w.want(ExitFailed, "--router names them", "engines")
-	w.want(ExitDone, "i-2", "engines", "--router", w.address)
+	w.want(ExitFailure, "--router names them", "engines")
+	w.want(ExitSuccess, "i-2", "engines", "--router", w.address)
 }
 
 func TestEnginesWithoutAnyRouter(t *testing.T) {
 	w := newEngineWorld(t)
 	w.store.Remove(platform.KindRouters, "vm-1")
-	w.want(ExitFailed, "the store lists no routers", "engines")
+	w.want(ExitFailure, "the store lists no routers", "engines")
 }
--- a/internal/ctl/exit.go
+++ b/internal/ctl/exit.go
@@ -8,8 +8,8 @@
 
 // Exit statuses of bluebellctl. Scripts rely on them.
 const (
-	ExitDone       = 0
-	ExitFailed     = 1 // not done; an edit is not accepted and never will be
+	ExitSuccess    = 0
+	ExitFailure    = 1 // not done; an edit is not accepted and never will be
 	ExitUsage      = 2 // a bad command line, path, key or value; nothing was sent
 	ExitConflict   = 3 // another edit came first; the edit is not accepted and never will be
 	ExitUnknown    = 4 // the edit may have been accepted or may yet be
@@ -46,12 +46,12 @@
 	var invalid *settings.ValidationError
 	switch {
 	case err == nil:
-		return ExitDone
+		return ExitSuccess
 	case errors.As(err, &exit):
 		return exit.status
 	case errors.As(err, &invalid):
 		return ExitUsage
 	default:
-		return ExitFailed
+		return ExitFailure
 	}
 }
--- a/internal/ctl/rollout.go
+++ b/internal/ctl/rollout.go
@@ -70,7 +70,7 @@
 func (s *session) follow(ctx context.Context, nodes Nodes, reports []nodeReport, revision uint64) []nodeReport {
 	reports = ask(ctx, nodes, reports)
 	for countInForce(reports, revision) < len(reports) {
-		if s.Wait(ctx, rolloutPause) != nil {
+		if s.Sleep(ctx, rolloutPause) != nil {
 			return reports
 		}
 		behind := lo.Filter(reports, func(r nodeReport, _ int) bool { return r.Revision < revision })
--- a/internal/ctl/routers_test.go
+++ b/internal/ctl/routers_test.go
@@ -88,12 +88,12 @@
 
 func TestRouterCommands(t *testing.T) {
 	w := newRouterWorld(t)
-	w.want(ExitDone, "vm-1  z1    7        400ms  3         2        true     ready", "router", "list")
-	w.want(ExitDone, "large    900    300\nsmall    10     10", "account", "uses")
-	w.want(ExitDone, "leaves new callers to others; 2 requests", "router", "drain", w.address, "--operator", "ada", "--reason", "new kernel")
-	w.want(ExitDone, "drained by an operator", "router", "list", "--router", w.address)
-	w.want(ExitDone, "takes new callers again", "router", "drain", w.address, "--undo", "--operator", "ada")
-	w.want(ExitDone, "new kernel", "router", "orders")
+	w.want(ExitSuccess, "vm-1  z1    7        400ms  3         2        true     ready", "router", "list")
+	w.want(ExitSuccess, "large    900    300\nsmall    10     10", "account", "uses")
+	w.want(ExitSuccess, "leaves new callers to others; 2 requests", "router", "drain", w.address, "--operator", "ada", "--reason", "new kernel")
+	w.want(ExitSuccess, "drained by an operator", "router", "list", "--router", w.address)
+	w.want(ExitSuccess, "takes new callers again", "router", "drain", w.address, "--undo", "--operator", "ada")
+	w.want(ExitSuccess, "new kernel", "router", "orders")
 	out, _ := w.run("router", "orders", "--output", "json")
 	if strings.Count(out, `"operator":"ada"`) != 2 || !strings.Contains(out, "undrain") {
 		t.Errorf("the audit trail lacks orders: %s", out)
@@ -111,15 +111,15 @@
 	w := newRouterWorld(t)
 	w.store.Put(platform.KindEvacuations, "z1", map[string]any{})
 	w.store.Put(platform.KindEvacuations, "z2", map[string]any{"operator": "ada"})
-	w.want(ExitDone, "z1    3         0 of 1    {}\nz2    4         1 of 1    {\"operator\":\"ada\"}\nz9    0         1 of 1    -", "router", "evacuations")
+	w.want(ExitSuccess, "z1    3         0 of 1    {}\nz2    4         1 of 1    {\"operator\":\"ada\"}\nz9    0         1 of 1    -", "router", "evacuations")
 }
 
 func TestOrderThatIsNotRecordedIsNotGiven(t *testing.T) {
 	w := newRouterWorld(t)
 	w.store.SetFaults(standin.Faults{Status: http.StatusServiceUnavailable})
-	w.want(ExitFailed, "the order was not given", "router", "drain", w.address)
-	w.want(ExitFailed, "--router names them", "router", "list")
-	w.want(ExitDone, "vm-1", "router", "list", "--router", w.address)
+	w.want(ExitFailure, "the order was not given", "router", "drain", w.address)
+	w.want(ExitFailure, "--router names them", "router", "list")
+	w.want(ExitSuccess, "vm-1", "router", "list", "--router", w.address)
 	if w.router.orders != 0 {
 		t.Error("the router was told")
 	}
@@ -133,7 +133,7 @@
 	w := newRouterWorld(t)
 	w.store.SetFaults(standin.Faults{LoseReplies: true})
 	time.AfterFunc(50*time.Millisecond, func() { w.store.SetFaults(standin.Faults{}) })
-	w.want(ExitDone, "leaves new callers", "router", "drain", w.address, "--reason", "once")
+	w.want(ExitSuccess, "leaves new callers", "router", "drain", w.address, "--reason", "once")
 	if out, _ := w.run("router", "orders"); strings.Count(out, "once") != 1 {
 		t.Errorf("the audit trail: %s", out)
 	}
@@ -142,7 +142,7 @@
 func TestRecordWhoseRepliesAreAllLost(t *testing.T) {
 	w := newRouterWorld(t)
 	w.store.SetFaults(standin.Faults{LoseReplies: true})
-	w.want(ExitFailed, "not known whether the record was kept", "router", "drain", w.address)
+	w.want(ExitFailure, "not known whether the record was kept", "router", "drain", w.address)
 	if w.router.orders != 0 {
 		t.Error("the router was told")
 	}
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -49,23 +49,23 @@
 	for _, test := range []struct {
 		name   string
 		args   []string
-		want   Verdict
+		want   ParseResult
 		stdout []string
 		stderr []string
 	}{
-		{name: "run", args: []string{"--config", valid}, want: Verdict{Config: valid}},
-		{name: "check", args: []string{"--config", valid, "--check-config"}, want: Verdict{Exit: true, Status: ExitDone}},
-		{name: "bad", args: []string{"--config", bad}, want: Verdict{Exit: true, Status: ExitBadConfig}, stderr: []string{
+		{name: "run", args: []string{"--config", valid}, want: ParseResult{ConfigPath: valid}},
+		{name: "check", args: []string{"--config", valid, "--check-config"}, want: ParseResult{Exit: true, ExitStatus: ExitSuccess}},
+		{name: "bad", args: []string{"--config", bad}, want: ParseResult{Exit: true, ExitStatus: ExitBadConfig}, stderr: []string{
 			"[node] control: ", "[platform] address: required", "[control] token: required", "[log] level: ",
 		}},
-		{name: "no file", args: []string{"--config", bad + "x"}, want: Verdict{Exit: true, Status: ExitBadConfig}, stderr: []string{"no such file"}},
-		{name: "no flag", args: nil, want: Verdict{Exit: true, Status: ExitBadConfig}, stderr: []string{"--config is required"}},
-		{name: "unknown flag", args: []string{"--colour"}, want: Verdict{Exit: true, Status: ExitBadConfig}, stderr: []string{"colour"}},
-		{name: "stray argument", args: []string{"start"}, want: Verdict{Exit: true, Status: ExitBadConfig}, stderr: []string{`"start"`}},
-		{name: "version", args: []string{"--version"}, want: Verdict{Exit: true, Status: ExitDone}, stdout: []string{"bluebell-test " + release}},
-		{name: "print", args: []string{"--config", valid, "--print-config"}, want: Verdict{Exit: true, Status: ExitDone}, stdout: []string{"level = info"}},
-		{name: "print defaults", args: []string{"--print-config"}, want: Verdict{Exit: true, Status: ExitDone}, stdout: []string{"level = info"}},
-		{name: "help", args: []string{"--help"}, want: Verdict{Exit: true, Status: ExitDone}, stdout: []string{"--check-config"}},
+		{name: "no file", args: []string{"--config", bad + "x"}, want: ParseResult{Exit: true, ExitStatus: ExitBadConfig}, stderr: []string{"no such file"}},
+		{name: "no flag", args: nil, want: ParseResult{Exit: true, ExitStatus: ExitBadConfig}, stderr: []string{"--config is required"}},
+		{name: "unknown flag", args: []string{"--colour"}, want: ParseResult{Exit: true, ExitStatus: ExitBadConfig}, stderr: []string{"colour"}},
+		{name: "stray argument", args: []string{"start"}, want: ParseResult{Exit: true, ExitStatus: ExitBadConfig}, stderr: []string{`"start"`}},
+		{name: "version", args: []string{"--version"}, want: ParseResult{Exit: true, ExitStatus: ExitSuccess}, stdout: []string{"bluebell-test " + release}},
+		{name: "print", args: []string{"--config", valid, "--print-config"}, want: ParseResult{Exit: true, ExitStatus: ExitSuccess}, stdout: []string{"level = info"}},
+		{name: "print defaults", args: []string{"--print-config"}, want: ParseResult{Exit: true, ExitStatus: ExitSuccess}, stdout: []string{"level = info"}},
+		{name: "help", args: []string{"--help"}, want: ParseResult{Exit: true, ExitStatus: ExitSuccess}, stdout: []string{"--check-config"}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var stdout, stderr bytes.Buffer
@@ -134,13 +134,13 @@
 			signals <- syscall.SIGTERM
 			<-s.draining
 			signals <- syscall.SIGINT
-		}, ErrForced},
+		}, ErrInterrupted},
 		{"interrupt after a repeated signal", func(s *fakeService, signals chan<- os.Signal) {
 			signals <- syscall.SIGTERM
 			<-s.draining
 			signals <- syscall.SIGTERM
 			signals <- syscall.SIGINT
-		}, ErrForced},
+		}, ErrInterrupted},
 		// Symptom: requests in progress are cut at a planned stop.
 		// Events: SIGTERM comes twice.
 		// Cause: any second signal ended the process at once.
--- a/internal/daemon/flags.go
+++ b/internal/daemon/flags.go
@@ -12,8 +12,8 @@
 
 // Exit statuses of all daemons.
 const (
-	ExitDone      = 0
-	ExitFailed    = 1
+	ExitSuccess   = 0
+	ExitFailure   = 1
 	ExitBadConfig = 2 // wrong flags or a wrong configuration
 )
 
@@ -25,16 +25,16 @@
 	Version     bool   `long:"version" description:"Print the version and exit."`
 }
 
-// Verdict tells what a process does after its flags have been handled.
-type Verdict struct {
-	Exit   bool // end now with Status
-	Status int
-	Config string // path of the configuration file, when the process goes on
+// ParseResult tells what a process does after its flags have been handled.
+type ParseResult struct {
+	Exit       bool // end now with Status
+	ExitStatus int
+	ConfigPath string // path of the configuration file, when the process goes on
 }
 
 // ParseFlags handles the command line and reads the configuration file into
 // config, which package inifile binds. Mistakes go to stderr, all of them.
-func ParseFlags(name string, args []string, config any, stdout, stderr io.Writer) Verdict {
+func ParseFlags(name string, args []string, config any, stdout, stderr io.Writer) ParseResult {
 	var options Flags
 	parser := flags.NewNamedParser(name, flags.HelpFlag|flags.PassDoubleDash)
 	if _, err := parser.AddGroup("Options", "", &options); err != nil {
@@ -44,50 +44,50 @@
 	var flagsError *flags.Error
 	if errors.As(err, &flagsError) && flagsError.Type == flags.ErrHelp {
 		fmt.Fprintln(stdout, err)
-		return Verdict{Exit: true, Status: ExitDone}
+		return ParseResult{Exit: true, ExitStatus: ExitSuccess}
 	}
 	if err == nil && len(rest) > 0 {
 		err = errors.Errorf("unexpected argument %q", rest[0])
 	}
 	if err != nil {
 		fmt.Fprintf(stderr, "%s: %v\n", name, err)
-		return Verdict{Exit: true, Status: ExitBadConfig}
+		return ParseResult{Exit: true, ExitStatus: ExitBadConfig}
 	}
 	return options.follow(name, config, stdout, stderr)
 }
 
-func (o Flags) follow(name string, config any, stdout, stderr io.Writer) Verdict {
+func (o Flags) follow(name string, config any, stdout, stderr io.Writer) ParseResult {
 	if o.Version {
 		fmt.Fprintf(stdout, "%s %s\n", name, Version())
-		return Verdict{Exit: true, Status: ExitDone}
+		return ParseResult{Exit: true, ExitStatus: ExitSuccess}
 	}
 	if o.Config == "" {
 		return o.withoutFile(name, config, stdout, stderr)
 	}
 	if err := inifile.Read(o.Config, config); err != nil {
 		fmt.Fprintln(stderr, err)
-		return Verdict{Exit: true, Status: ExitBadConfig}
+		return ParseResult{Exit: true, ExitStatus: ExitBadConfig}
 	}
 	if o.PrintConfig {
 		return printed(inifile.Write(stdout, config))
 	}
 	if o.CheckConfig {
-		return Verdict{Exit: true, Status: ExitDone}
+		return ParseResult{Exit: true, ExitStatus: ExitSuccess}
 	}
-	return Verdict{Config: o.Config}
+	return ParseResult{ConfigPath: o.Config}
 }
 
-func (o Flags) withoutFile(name string, config any, stdout, stderr io.Writer) Verdict {
+func (o Flags) withoutFile(name string, config any, stdout, stderr io.Writer) ParseResult {
 	if o.PrintConfig {
 		return printed(inifile.WriteDefault(stdout, config))
 	}
 	fmt.Fprintf(stderr, "%s: --config is required\n", name)
-	return Verdict{Exit: true, Status: ExitBadConfig}
+	return ParseResult{Exit: true, ExitStatus: ExitBadConfig}
 }
 
-func printed(err error) Verdict {
+func printed(err error) ParseResult {
 	if err != nil {
-		return Verdict{Exit: true, Status: ExitFailed}
+		return ParseResult{Exit: true, ExitStatus: ExitFailure}
 	}
-	return Verdict{Exit: true, Status: ExitDone}
+	return ParseResult{Exit: true, ExitStatus: ExitSuccess}
 }
--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -19,9 +19,9 @@
 
 // Main is the whole main function of a fleet node. It returns the exit status.
 func Main[C NodeConfig](name string, config C, wire Wire) int {
-	verdict := ParseFlags(name, os.Args[1:], config, os.Stdout, os.Stderr)
-	if verdict.Exit {
-		return verdict.Status
+	parsed := ParseFlags(name, os.Args[1:], config, os.Stdout, os.Stderr)
+	if parsed.Exit {
+		return parsed.ExitStatus
 	}
 	common := config.CommonConfig()
 	logger := NewLogger(common.Log, os.Stderr).WithField("node", common.Node.Control)
@@ -32,23 +32,23 @@
 	node, err := NewNode(injector)
 	if err != nil {
 		event.RunFailed.Log(logger, logrus.Fields{"error": err.Error()})
-		return ExitFailed
+		return ExitFailure
 	}
-	return RunToExit(name, node, logger)
+	return RunUntilSignal(name, node, logger)
 }
 
-// RunToExit runs a service until SIGTERM or SIGINT and returns the exit status.
-func RunToExit(name string, service Service, logger logrus.FieldLogger) int {
+// RunUntilSignal runs a service until SIGTERM or SIGINT and returns the exit status.
+func RunUntilSignal(name string, service Service, logger logrus.FieldLogger) int {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	event.Started.Log(logger, logrus.Fields{"program": name, "version": Version()})
 	err := Run(context.Background(), service, signals, logger)
-	if err != nil && !errors.Is(err, ErrForced) {
+	if err != nil && !errors.Is(err, ErrInterrupted) {
 		event.RunFailed.Log(logger, logrus.Fields{"error": err.Error()})
 	}
 	if err != nil {
-		return ExitFailed
+		return ExitFailure
 	}
 	event.Stopped.Log(logger, nil)
-	return ExitDone
+	return ExitSuccess
 }
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -22,8 +22,8 @@
 type Reloader struct {
 	Path   string
 	Logger logrus.FieldLogger
-	// Fresh returns an empty configuration for package inifile.
-	Fresh func() any
+	// NewConfig returns an empty configuration for package inifile.
+	NewConfig func() any
 	// Apply takes a configuration without mistakes.
 	Apply func(config any)
 
@@ -96,7 +96,7 @@
 		return
 	}
 	r.content = content
-	config := r.Fresh()
+	config := r.NewConfig()
 	if err := inifile.Parse(r.Path, content, config); err != nil {
 		event.GateReloadFailed.Log(r.Logger, logrus.Fields{"error": err.Error()})
 		return
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -31,10 +31,10 @@
 	logger.SetOutput(io.Discard)
 	applied := make(chan string, 10)
 	reloader := &Reloader{
-		Path:   path,
-		Logger: logger,
-		Fresh:  func() any { return new(reloadConfig) },
-		Apply:  func(config any) { applied <- config.(*reloadConfig).Log.Level },
+		Path:      path,
+		Logger:    logger,
+		NewConfig: func() any { return new(reloadConfig) },
+		Apply:     func(config any) { applied <- config.(*reloadConfig).Log.Level },
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -78,10 +78,10 @@
 	logger.SetOutput(io.Discard)
 	var applied []string
 	reloader := &Reloader{
-		Path:   path,
-		Logger: logger,
-		Fresh:  func() any { return new(reloadConfig) },
-		Apply:  func(config any) { applied = append(applied, config.(*reloadConfig).Log.Level) },
+		Path:      path,
+		Logger:    logger,
+		NewConfig: func() any { return new(reloadConfig) },
+		Apply:     func(config any) { applied = append(applied, config.(*reloadConfig).Log.Level) },
 	}
 	reloader.pause = func() { // the writer gets on between two reads
 		if err := os.WriteFile(path, []byte("[log]\nlevel = error\n"), 0o600); err != nil {
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -11,9 +11,9 @@
 	"github.com/bluebellchute/bluebellchute/internal/event"
 )
 
-// ErrForced tells that an interrupt ended the process before its work in
+// ErrInterrupted tells that an interrupt ended the process before its work in
 // progress was done.
-var ErrForced = errors.New("stopped at once by an interrupt")
+var ErrInterrupted = errors.New("stopped at once by an interrupt")
 
 // Service is what a daemon does.
 type Service interface {
@@ -95,5 +95,5 @@
 
 func forced(logger logrus.FieldLogger) error {
 	event.StopForced.Log(logger, nil)
-	return ErrForced
+	return ErrInterrupted
 }
--- a/internal/fleet/header.go
+++ b/internal/fleet/header.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// HopByHop tells whether an HTTP header concerns one connection only, so that
+// IsHopByHop tells whether an HTTP header concerns one connection only, so that
 // neither router nor agent may pass it on. The two headers that every client
 // library writes by itself, Content-Length and Host, count as such. Upper and
 // lower case are the same.
-func HopByHop(name string) bool {
+func IsHopByHop(name string) bool {
 	switch strings.ToLower(name) {
 	case "connection", "keep-alive", "proxy-authenticate", "proxy-authorization", "te", "trailer",
 		"transfer-encoding", "upgrade", "content-length", "host":
@@ -18,12 +18,12 @@
 	return false
 }
 
-// EndToEnd returns the headers that are passed on. Their values are shared with
+// EndToEndHeaders returns the headers that are passed on. Their values are shared with
 // the given ones.
-func EndToEnd(header http.Header) http.Header {
+func EndToEndHeaders(header http.Header) http.Header {
 	passed := make(http.Header, len(header))
 	for name, values := range header {
-		if !HopByHop(name) {
+		if !IsHopByHop(name) {
 			passed[name] = values
 		}
 	}
--- a/internal/gate/relay_buffered.go
+++ b/internal/gate/relay_buffered.go
@@ -74,7 +74,7 @@
 // callerHeader returns the header for the caller. The signature is removed if it is not
 // valid, or if callerStatus changes the status.
 func (r *relay) callerHeader(answer *backendconn.Answer, reply Reply) http.Header {
-	header := fleet.EndToEnd(answer.Header)
+	header := fleet.EndToEndHeaders(answer.Header)
 	if promisesNotRun(answer.Status) || !reply.Signed {
 		r.handler.dialect.StripSignature(header)
 	}
--- a/internal/gate/relay_stream.go
+++ b/internal/gate/relay_stream.go
@@ -101,7 +101,7 @@
 		return
 	}
 	r.stream.started = true
-	maps.Copy(r.writer.Header(), fleet.EndToEnd(answer.Header))
+	maps.Copy(r.writer.Header(), fleet.EndToEndHeaders(answer.Header))
 	r.handler.writeHead(r.writer, answer.Status)
 }
 
--- a/internal/inifile/inifile_test.go
+++ b/internal/inifile/inifile_test.go
@@ -39,9 +39,9 @@
 	Share int    `key:"share" default:"1" max:"10"`
 }
 
-func (c *config) Validate() []Mistake {
+func (c *config) Validate() []Problem {
 	if c.Limits.Slots == 13 {
-		return []Mistake{{Section: "limits", Key: "slots", Problem: "13 does not go with this zone"}}
+		return []Problem{{Section: "limits", Key: "slots", Message: "13 does not go with this zone"}}
 	}
 	return nil
 }
--- a/internal/inifile/read.go
+++ b/internal/inifile/read.go
@@ -25,7 +25,7 @@
 func Read(path string, target any) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return &Error{File: path, Mistakes: []Mistake{{Problem: err.Error()}}}
+		return &Error{File: path, Problems: []Problem{{Message: err.Error()}}}
 	}
 	return Parse(path, data, target)
 }
@@ -35,7 +35,7 @@
 func Parse(name string, data []byte, target any) error {
 	file, err := ini.LoadSources(loadOptions, data)
 	if err != nil {
-		return &Error{File: name, Mistakes: []Mistake{{Problem: errors.Wrap(err, "syntax").Error()}}}
+		return &Error{File: name, Problems: []Problem{{Message: errors.Wrap(err, "syntax").Error()}}}
 	}
 	b := binder{file: file, sections: sectionsOf(target)}
 	b.bind()
@@ -45,7 +45,7 @@
 		b.mistakes = validator.Validate()
 	}
 	if len(b.mistakes) > 0 {
-		return &Error{File: name, Mistakes: b.mistakes}
+		return &Error{File: name, Problems: b.mistakes}
 	}
 	return nil
 }
@@ -54,11 +54,11 @@
 type binder struct {
 	file     *ini.File
 	sections []section
-	mistakes []Mistake
+	mistakes []Problem
 }
 
 func (b *binder) add(section, key, problem string) {
-	b.mistakes = append(b.mistakes, Mistake{Section: section, Key: key, Problem: problem})
+	b.mistakes = append(b.mistakes, Problem{Section: section, Key: key, Message: problem})
 }
 
 func (b *binder) bind() {
--- a/internal/load/scenario.go
+++ b/internal/load/scenario.go
@@ -88,28 +88,28 @@
 }
 
 // Validate implements inifile.Validator.
-func (s *Scenario) Validate() []inifile.Mistake {
-	var mistakes []inifile.Mistake
+func (s *Scenario) Validate() []inifile.Problem {
+	var problems []inifile.Problem
 	if len(s.Fleet.Routers) == 0 {
-		mistakes = append(mistakes, inifile.Mistake{Section: "fleet", Key: "routers", Problem: "at least one is needed"})
+		problems = append(problems, inifile.Problem{Section: "fleet", Key: "routers", Message: "at least one is needed"})
 	}
 	for _, stream := range s.Streams {
-		mistakes = append(mistakes, s.checkStream(stream)...)
+		problems = append(problems, s.checkStream(stream)...)
 	}
-	return mistakes
+	return problems
 }
 
-func (s *Scenario) checkStream(stream StreamSection) []inifile.Mistake {
+func (s *Scenario) checkStream(stream StreamSection) []inifile.Problem {
 	section := "load." + stream.Name
-	var mistakes []inifile.Mistake
+	var problems []inifile.Problem
 	if _, ok := s.service(stream.Service); !ok {
 		problem := fmt.Sprintf("there is no section [service.%s]", stream.Service)
-		mistakes = append(mistakes, inifile.Mistake{Section: section, Key: "service", Problem: problem})
+		problems = append(problems, inifile.Problem{Section: section, Key: "service", Message: problem})
 	}
 	if _, err := routerPlaces(stream.Routers, len(s.Fleet.Routers)); err != nil {
-		mistakes = append(mistakes, inifile.Mistake{Section: section, Key: "routers", Problem: err.Error()})
+		problems = append(problems, inifile.Problem{Section: section, Key: "routers", Message: err.Error()})
 	}
-	return mistakes
+	return problems
 }
 
 func (s *Scenario) service(name string) (ServiceSection, bool) {
--- a/internal/membership/tracker.go
+++ b/internal/membership/tracker.go
@@ -79,7 +79,7 @@
 }
 
 func (t *Tracker) peer(control fleet.Address) *peer {
-	return t.peers.Ensure(control, func() *peer { return &peer{} })
+	return t.peers.GetOrCreate(control, func() *peer { return &peer{} })
 }
 
 // View returns the view of the last refresh.
--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -24,9 +24,9 @@
 }
 
 // Validate implements inifile.Validator.
-func (c *Config) Validate() []inifile.Mistake {
+func (c *Config) Validate() []inifile.Problem {
 	if c.Node.Control != "" && c.Node.Control == c.Node.Data {
-		return []inifile.Mistake{{Section: "node", Key: "data", Problem: "must differ from control"}}
+		return []inifile.Problem{{Section: "node", Key: "data", Message: "must differ from control"}}
 	}
 	return nil
 }
--- a/internal/router/shell_request.go
+++ b/internal/router/shell_request.go
@@ -218,7 +218,7 @@
 // or is the caller's secret.
 func keepsBack(name string) bool {
 	name = strings.ToLower(name)
-	if fleet.HopByHop(name) {
+	if fleet.IsHopByHop(name) {
 		return true
 	}
 	switch name {
--- a/internal/router/system_members.go
+++ b/internal/router/system_members.go
@@ -32,7 +32,7 @@
 }
 
 func (w *World) listAgent(node fleet.Node) {
-	row := w.agents.Ensure(node.Control, func() *agentRow {
+	row := w.agents.GetOrCreate(node.Control, func() *agentRow {
 		// A new agent is believed to have one slot: the first reply tells more.
 		return &agentRow{heard: 1, heardAt: w.now, rank: notRanked}
 	})
@@ -114,7 +114,7 @@
 
 // service returns the row of a service and makes one where there is none.
 func (w *World) service(name fleet.Service) *serviceRow {
-	return w.services.Ensure(name, func() *serviceRow {
+	return w.services.GetOrCreate(name, func() *serviceRow {
 		row := &serviceRow{
 			name:     name,
 			queues:   make(map[fleet.Account]*accountQueue),
--- a/internal/router/system_queue.go
+++ b/internal/router/system_queue.go
@@ -45,7 +45,7 @@
 	if !request.Deadline.After(w.now) {
 		return notRun(statusServiceUnavailable, CodeDeadline, "the deadline had passed on arrival", 0), true
 	}
-	bucket := w.rates.Ensure(request.Account, func() *rateBucket { return &rateBucket{} })
+	bucket := w.rates.GetOrCreate(request.Account, func() *rateBucket { return &rateBucket{} })
 	if wait, ok := bucket.take(w.now, policy.RateLimit); !ok {
 		return notRun(statusTooManyRequests, CodeRateLimited, "the client account's rate limit is reached", wait), true
 	}
--- a/internal/spread/system_peer.go
+++ b/internal/spread/system_peer.go
@@ -36,7 +36,7 @@
 }
 
 func (w *World) link(peer fleet.Address) *link {
-	return w.links.Ensure(peer, func() *link { return &link{} })
+	return w.links.GetOrCreate(peer, func() *link { return &link{} })
 }
 
 // takeSync takes in the news of a request or a reply. The deltas come first:
--- a/internal/tick/loop.go
+++ b/internal/tick/loop.go
@@ -126,8 +126,8 @@
 // Put stores a row, in place of one with the same key.
 func (t *Table[K, V]) Put(key K, row *V) { t.rows[key] = row }
 
-// Ensure returns the row of a key and makes it with create when there is none.
-func (t *Table[K, V]) Ensure(key K, create func() *V) *V {
+// GetOrCreate returns the row of a key and makes it with create when there is none.
+func (t *Table[K, V]) GetOrCreate(key K, create func() *V) *V {
 	row, ok := t.rows[key]
 	if !ok {
 		row = create()
