--- a/internal/membership/directory.go
+++ b/internal/membership/directory.go
@@ -10,19 +10,21 @@
 	"github.com/bluebellchute/bluebellchute/internal/tick"
 )
 
-// maxTombstones is the number of deleted records that a directory remembers.
+// maxTombstones is the number of records of deleted nodes that a directory
+// retains.
 const maxTombstones = 512
 
 // Directory is a replica of the nodes' objects on the platform. It is complete
-// up to its revision, which is the platform's version of the last change of
-// any record or of the last list. It is safe for concurrent use.
+// up to its revision, which is the platform's version of the last change of any
+// record or of the last list. It is safe for concurrent use.
 type Directory struct {
 	mu       sync.Mutex
 	records  *tick.Table[fleet.Address, Record]
 	revision platform.Version
-	// forgotten is the version up to which deletions may be missing. A peer
-	// from before it must be told which nodes there are.
-	forgotten platform.Version
+	// deletionsPrunedTo is the version up to which tombstones may have been
+	// pruned. A peer at an older revision must be sent the set of all existing
+	// nodes.
+	deletionsPrunedTo platform.Version
 }
 
 // NewDirectory returns an empty directory at revision 0.
@@ -30,7 +32,7 @@
 	return &Directory{records: tick.NewTable[fleet.Address, Record]()}
 }
 
-// Revision is the platform's version of the last known change.
+// Revision returns the platform's version of the last known change.
 func (d *Directory) Revision() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -56,8 +58,8 @@
 	return *record, true
 }
 
-// changedSince tells whether the directory has word of a node, also of its end,
-// from after the version.
+// changedSince reports whether the directory has a change of the node,
+// including its deletion, newer than the version.
 func (d *Directory) changedSince(control fleet.Address, version platform.Version) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -77,9 +79,9 @@
 	return records
 }
 
-// put takes in a record unless a newer one of the node is known. Changes reach
-// a node over several ways and in any order; the version decides.
-func (d *Directory) put(record Record) {
+// merge stores a record unless a newer one of the node is known. Changes reach
+// a node by several paths and in any order, so the version decides.
+func (d *Directory) merge(record Record) {
 	known := d.records.Get(record.Control)
 	if known != nil && known.Version >= record.Version {
 		return
@@ -87,8 +89,8 @@
 	d.records.Put(record.Control, &record)
 }
 
-// deleteAbsent marks the records as deleted that exist tells not to exist at
-// the version.
+// deleteAbsent marks the records as deleted for which exists returns false, as
+// of the version at.
 func (d *Directory) deleteAbsent(exists func(control fleet.Address) bool, at platform.Version) {
 	d.records.Each(func(control fleet.Address, record *Record) {
 		if record.Deleted || exists(control) {
@@ -98,9 +100,9 @@
 	})
 }
 
-// advance raises the revision to the newest record and drops the oldest
-// deletions beyond the bound.
-func (d *Directory) advance() {
+// advanceRevision raises the revision to that of the newest record and prunes
+// the oldest tombstones above maxTombstones.
+func (d *Directory) advanceRevision() {
 	d.records.Each(func(_ fleet.Address, record *Record) {
 		d.revision = max(d.revision, record.Version)
 	})
@@ -110,7 +112,7 @@
 	}
 	slices.SortFunc(deleted, func(a, b Record) int { return cmp.Compare(a.Version, b.Version) })
 	for _, record := range deleted[:len(deleted)-maxTombstones] {
-		d.forgotten = max(d.forgotten, record.Version)
+		d.deletionsPrunedTo = max(d.deletionsPrunedTo, record.Version)
 		d.records.Delete(record.Control)
 	}
 }
--- a/internal/membership/directory_delta.go
+++ b/internal/membership/directory_delta.go
@@ -20,7 +20,7 @@
 	delta := &rpc.MembersDelta{
 		From:     since,
 		To:       uint64(d.revision),
-		Complete: platform.Version(since) < d.forgotten || since == 0,
+		Complete: platform.Version(since) < d.deletionsPrunedTo || since == 0,
 	}
 	for _, record := range d.matching(func(*Record) bool { return true }) {
 		changed := record.Version > platform.Version(since)
@@ -33,7 +33,7 @@
 	}
 	encoded, err := proto.Marshal(delta)
 	if err != nil {
-		// Marshal fails on text that is not UTF-8 only.
+		// Marshal fails only on text that is not valid UTF-8.
 		return nil
 	}
 	return encoded
@@ -58,19 +58,20 @@
 	for _, message := range delta.GetRecords() {
 		record := RecordFromRPC(message)
 		exists[shortHash(record.Control)] = true
-		d.put(record)
+		d.merge(record)
 	}
 	if delta.GetComplete() {
 		d.deleteAbsent(func(control fleet.Address) bool { return exists[shortHash(control)] }, to)
-		d.forgotten = to
+		d.deletionsPrunedTo = to
 	}
-	d.advance()
+	d.advanceRevision()
 	d.revision = max(d.revision, to)
 	return true, nil
 }
 
-// shortHash names a node in 4 bytes. Where two nodes share a hash, a deletion
-// may be missed until the next complete delta; nothing else depends on it.
+// shortHash identifies a node by 4 bytes in a delta. If two nodes share a hash,
+// a deletion may be missed until the next complete delta; nothing else depends
+// on it.
 func shortHash(control fleet.Address) uint32 {
 	return uint32(xxhash.Sum64String(string(control)))
 }
--- a/internal/membership/directory_test.go
+++ b/internal/membership/directory_test.go
@@ -26,33 +26,34 @@
 	return record
 }
 
-func unlimited() *platform.Store {
+func newUnlimitedStore() *platform.Store {
 	return platform.NewStore(platform.StoreOptions{WritesPerSecond: 1 << 30, ReadsPerSecond: 1 << 30, History: 8})
 }
 
-// list answers a list call from what the platform held at one time.
-type list struct {
+// fixedList answers List with a fixed state of the platform.
+type fixedList struct {
 	platform.API
 	objects []platform.Object
 	at      platform.Version
 }
 
-func (l list) List(context.Context, string) ([]platform.Object, platform.Version, error) {
+func (l fixedList) List(context.Context, string) ([]platform.Object, platform.Version, error) {
 	return l.objects, l.at, nil
 }
 
 // TestDirectoriesConverge draws any interleaving of registrations, removals,
-// full and stale loads, watches, and deltas that are lost, kept back, doubled
-// or reordered. No revision may fall, and a last exchange brings all level.
+// full and stale loads, watches, and deltas that are lost, delayed, duplicated
+// or reordered. No revision may decrease, and after a final exchange all
+// directories must be equal.
 func TestDirectoriesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ctx := context.Background()
-		store := unlimited()
+		store := newUnlimitedStore()
 		directories := []*Directory{NewDirectory(), NewDirectory(), NewDirectory()}
-		reached := make([]uint64, len(directories))
-		var kept [][]byte
-		var lists []list
-		one := rapid.IntRange(0, len(directories)-1)
+		highest := make([]uint64, len(directories))
+		var deltas [][]byte
+		var lists []fixedList
+		directoryIndex := rapid.IntRange(0, len(directories)-1)
 		address := rapid.Custom(func(t *rapid.T) fleet.Address {
 			return fleet.Address(fmt.Sprintf("127.0.0.1:%d", rapid.IntRange(1, 6).Draw(t, "port")))
 		})
@@ -73,48 +74,48 @@
 			},
 			"load": func(t *rapid.T) {
 				objects, at, _ := store.List(ctx, platform.NodePrefix)
-				lists = append(lists, list{objects: objects, at: at})
-				_, _ = directories[one.Draw(t, "to")].Load(ctx, lists[len(lists)-1])
+				lists = append(lists, fixedList{objects: objects, at: at})
+				_, _ = directories[directoryIndex.Draw(t, "to")].Load(ctx, lists[len(lists)-1])
 			},
 			"stale load": func(t *rapid.T) {
 				if len(lists) == 0 {
 					return
 				}
 				old := lists[rapid.IntRange(0, len(lists)-1).Draw(t, "list")]
-				_, _ = directories[one.Draw(t, "to")].Load(ctx, old)
+				_, _ = directories[directoryIndex.Draw(t, "to")].Load(ctx, old)
 			},
 			"watch": func(t *rapid.T) {
-				to := directories[one.Draw(t, "to")]
+				to := directories[directoryIndex.Draw(t, "to")]
 				changes, _, _ := store.Watch(ctx, to.WatchPrefix(), platform.Version(to.Revision()), 0)
 				_ = to.ApplyChanges(ctx, store, changes)
 			},
 			"send": func(t *rapid.T) {
-				since := directories[one.Draw(t, "to")].Revision()
-				kept = append(kept, directories[one.Draw(t, "from")].Delta(since))
+				since := directories[directoryIndex.Draw(t, "to")].Revision()
+				deltas = append(deltas, directories[directoryIndex.Draw(t, "from")].Delta(since))
 			},
 			"receive": func(t *rapid.T) {
-				if len(kept) == 0 {
+				if len(deltas) == 0 {
 					return
 				}
-				delta := kept[rapid.IntRange(0, len(kept)-1).Draw(t, "delta")]
-				if _, err := directories[one.Draw(t, "to")].Apply(delta); err != nil {
+				delta := deltas[rapid.IntRange(0, len(deltas)-1).Draw(t, "delta")]
+				if _, err := directories[directoryIndex.Draw(t, "to")].Apply(delta); err != nil {
 					t.Fatal(err)
 				}
 			},
 			"": func(t *rapid.T) {
 				for i, directory := range directories {
-					if directory.Revision() < reached[i] {
-						t.Fatalf("directory %d fell from %d to %d", i, reached[i], directory.Revision())
+					if directory.Revision() < highest[i] {
+						t.Fatalf("revision of directory %d went back from %d to %d", i, highest[i], directory.Revision())
 					}
-					reached[i] = directory.Revision()
+					highest[i] = directory.Revision()
 				}
 			},
 		})
-		truth := NewDirectory()
-		if _, err := truth.Load(ctx, store); err != nil {
+		current := NewDirectory()
+		if _, err := current.Load(ctx, store); err != nil {
 			t.Fatal(err)
 		}
-		want, _ := truth.Records()
+		want, _ := current.Records()
 		if _, err := directories[0].Load(ctx, store); err != nil {
 			t.Fatal(err)
 		}
@@ -123,37 +124,34 @@
 				t.Fatal(err)
 			}
 			if got, _ := directory.Records(); !reflect.DeepEqual(got, want) {
-				t.Fatalf("directory %d ends with\n%v\nwant\n%v", i, got, want)
+				t.Fatalf("directory %d has\n%v\nwant\n%v", i, got, want)
 			}
 		}
 	})
 }
 
-// TestForgottenDeletions covers a peer that was away for more deletions than a
-// directory remembers.
-// Symptom: nodes that are long gone stay in the peer's view.
-// Sequence: the peer has a node, is cut off, and the node and hundreds of
-// others are removed; then it asks for what it lacks.
-// Cause: deletions are remembered up to a bound.
-func TestForgottenDeletions(t *testing.T) {
-	store := unlimited()
-	directory, away := NewDirectory(), NewDirectory()
+// TestPrunedTombstones guards against deleted nodes that stay in a peer's view
+// permanently. That could happen if the peer is cut off while more nodes are
+// deleted than a directory keeps tombstones for, and then requests a delta.
+func TestPrunedTombstones(t *testing.T) {
+	store := newUnlimitedStore()
+	directory, outdated := NewDirectory(), NewDirectory()
 	register(t, store, Record{Node: fleet.Node{Control: "127.0.0.1:1"}})
-	for _, each := range []*Directory{directory, away} {
+	for _, each := range []*Directory{directory, outdated} {
 		if _, err := each.Load(t.Context(), store); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for version := range platform.Version(maxTombstones + 1) {
-		gone := platform.Object{Key: Key(fleet.Address(fmt.Sprintf("127.0.0.1:%d", version+1))), Version: version + 2}
-		if err := directory.ApplyChanges(t.Context(), store, []platform.Change{{Object: gone, Deleted: true}}); err != nil {
+		deleted := platform.Object{Key: Key(fleet.Address(fmt.Sprintf("127.0.0.1:%d", version+1))), Version: version + 2}
+		if err := directory.ApplyChanges(t.Context(), store, []platform.Change{{Object: deleted, Deleted: true}}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if rose, err := away.Apply(directory.Delta(away.Revision())); !rose || err != nil {
-		t.Fatal(rose, err)
+	if advanced, err := outdated.Apply(directory.Delta(outdated.Revision())); !advanced || err != nil {
+		t.Fatal(advanced, err)
 	}
-	if records, _ := away.Records(); len(records) != 0 {
-		t.Fatalf("still there: %v", records)
+	if records, _ := outdated.Records(); len(records) != 0 {
+		t.Fatalf("deleted nodes are still there: %v", records)
 	}
 }
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -14,16 +14,17 @@
 // Record is a node's object on the platform.
 type Record struct {
 	fleet.Node
-	// PlatformState is what the platform's list says of the node's VM. The
-	// node's own State stands beside it, so that neither overwrites the other.
+	// PlatformState is the state of the node's VM in the platform's list. It is
+	// separate from the node's own State so that neither overwrites the other.
 	PlatformState fleet.VMState `json:",omitempty"`
 	// Version is the platform's version of the record's last change.
 	Version platform.Version `json:"-"`
-	// Deleted marks a record that is kept only to tell others that it is gone.
+	// Deleted marks a tombstone, which is kept to propagate the deletion.
 	Deleted bool `json:"-"`
 }
 
-// Leaving tells whether the node or the platform says that it is leaving.
+// Leaving reports whether the node itself or the platform states that it is
+// leaving.
 func (r Record) Leaving() bool {
 	return r.State == fleet.VMLeaving || r.PlatformState == fleet.VMLeaving
 }
@@ -37,7 +38,7 @@
 	return data, errors.Wrapf(err, "record of node %s", record.Control)
 }
 
-// decodeRecord reads a node's object. The key decides on the control address.
+// decodeRecord decodes a node's object. The control address comes from the key.
 func decodeRecord(object platform.Object) (Record, error) {
 	var record Record
 	if err := json.Unmarshal(object.Data, &record); err != nil {
@@ -54,7 +55,7 @@
 	return fleet.Address(strings.TrimPrefix(key, platform.NodePrefix))
 }
 
-// RecordToRPC returns the form of a record in messages.
+// RecordToRPC returns the message form of a record.
 func RecordToRPC(record Record) *rpc.NodeRecord {
 	message := &rpc.NodeRecord{
 		Control: string(record.Control),
--- a/internal/membership/register.go
+++ b/internal/membership/register.go
@@ -9,9 +9,9 @@
 	"github.com/bluebellchute/bluebellchute/internal/platform"
 )
 
-// Register writes a node's own record in place of an earlier one. What the
-// platform's list said of the VM is kept for the same incarnation: a node that
-// begins to leave by itself must not clear it.
+// Register writes a node's own record in place of an earlier one. For the same
+// incarnation it keeps the platform's state of the VM: a node that starts to
+// drain by itself must not clear it.
 func Register(ctx context.Context, api platform.API, record Record) (platform.Version, error) {
 	object, err := api.Get(ctx, Key(record.Control))
 	if err != nil && !errors.Is(err, platform.ErrNotFound) {
@@ -30,7 +30,7 @@
 	return api.Put(ctx, Key(record.Control), data, object.Version)
 }
 
-// Unregister removes a node's own record when it is still that of the
+// Unregister removes a node's own record if it still belongs to the
 // incarnation: a successor at the same address may have registered already.
 func Unregister(ctx context.Context, api platform.API, control fleet.Address, incarnation uint64) error {
 	object, err := api.Get(ctx, Key(control))
@@ -47,7 +47,7 @@
 	return api.Delete(ctx, Key(control), object.Version)
 }
 
-// Apply makes a keeper's conditional write.
+// Apply executes the conditional write.
 func (w Write) Apply(ctx context.Context, api platform.API) error {
 	key := Key(w.Record.Control)
 	if w.Remove {
--- a/internal/membership/rendezvous.go
+++ b/internal/membership/rendezvous.go
@@ -9,9 +9,9 @@
 	"github.com/bluebellchute/bluebellchute/internal/fleet"
 )
 
-// Rank orders nodes by rendezvous hashing for a key: each node's place depends
-// on the key and on its own control address only, so a node that comes or goes
-// moves no other.
+// Rank orders nodes by rendezvous hashing for a key: a node's score depends
+// only on the key and its own control address, so adding or removing a node
+// does not change the order of the others.
 func Rank(key string, nodes []fleet.Node) []fleet.Node {
 	type scored struct {
 		node  fleet.Node
--- a/internal/membership/subset.go
+++ b/internal/membership/subset.go
@@ -6,33 +6,34 @@
 	"github.com/bluebellchute/bluebellchute/internal/fleet"
 )
 
-// OfferSubset returns the agents to which a router offers waiting work: size
-// of the given agents, those of the router's zone first, in a stable order of
-// the router's own. A larger size adds to a smaller one and replaces nothing.
+// OfferSubset returns the agents to which a router offers waiting requests:
+// size of the given agents, those of the router's zone first, in a stable order
+// specific to the router. A larger size extends a smaller subset and replaces
+// none of it.
 func OfferSubset(router fleet.Address, zone fleet.Zone, agents []fleet.Node, size int) []fleet.Node {
 	ranked := Rank("offer/"+string(router), agents)
 	near, far := splitByZone(ranked, zone)
 	return firstOf(append(near, far...), size)
 }
 
-// Homes returns the agents that add up the charges of a service.
+// Homes returns the agents that sum up a service's usage by client account.
 func Homes(service fleet.Service, agents []fleet.Node, count int) []fleet.Node {
 	return firstOf(Rank("home/"+string(service), agents), count)
 }
 
-// HomeOf returns the one of the service's homes that adds up the charges of an
-// account, or false when there are no homes.
+// HomeOf returns the service's home that sums up the usage of an account, or
+// false if there are no homes.
 func HomeOf(service fleet.Service, account fleet.Account, homes []fleet.Node) (fleet.Node, bool) {
 	ranked := Rank("home/"+string(service)+"/"+string(account), homes)
 	return lo.First(ranked)
 }
 
-// guardCount is the number of guards of an idempotency key.
+// guardCount is the number of guards per idempotency key.
 const guardCount = 2
 
-// Guards returns the agents that guard a caller's idempotency key: the first
-// by rank, and the next one of another zone where there is one, so that the
-// loss of a zone does not take both.
+// Guards returns the agents that record the use of a caller's idempotency key:
+// the first by rank, and the next one in another zone if there is one, so that
+// losing a zone does not lose both.
 func Guards(account fleet.Account, key string, agents []fleet.Node) []fleet.Node {
 	ranked := Rank("key/"+string(account)+"/"+key, agents)
 	if len(ranked) <= 1 {
@@ -43,19 +44,19 @@
 	return firstOf(append([]fleet.Node{first}, append(far, near...)...), guardCount)
 }
 
-// Watchers returns the nodes of a zone that hold watches on the platform.
+// Watchers returns the nodes of a zone that watch the platform.
 func Watchers(zone fleet.Zone, nodes []fleet.Node, count int) []fleet.Node {
 	inZone, _ := splitByZone(nodes, zone)
 	return firstOf(Rank("watch/"+string(zone), inZone), count)
 }
 
-// Reconcilers returns the nodes that carry the platform's list of VMs over to the
+// Reconcilers returns the nodes that transfer the platform's list of VMs to the
 // nodes' records. Their number does not depend on the size of the fleet.
 func Reconcilers(nodes []fleet.Node, count int) []fleet.Node {
 	return firstOf(Rank("keeper", nodes), count)
 }
 
-// Contains tells whether a node with the control address is among the nodes.
+// Contains reports whether a node with the control address is among the nodes.
 func Contains(nodes []fleet.Node, control fleet.Address) bool {
 	return lo.ContainsBy(nodes, func(node fleet.Node) bool { return node.Control == control })
 }
--- a/internal/membership/subset_test.go
+++ b/internal/membership/subset_test.go
@@ -11,8 +11,8 @@
 	"github.com/bluebellchute/bluebellchute/internal/fleet"
 )
 
-func drawNodes(t *rapid.T, least int) []fleet.Node {
-	count := rapid.IntRange(least, 60).Draw(t, "count")
+func drawNodes(t *rapid.T, minCount int) []fleet.Node {
+	count := rapid.IntRange(minCount, 60).Draw(t, "count")
 	zones := rapid.IntRange(1, 4).Draw(t, "zones")
 	return lo.Times(count, func(i int) fleet.Node {
 		return fleet.Node{
@@ -23,9 +23,10 @@
 	})
 }
 
-// TestChoicesMoveLittle removes one node and counts what changes in the
-// choices that all nodes must make alike. Read backwards, a node is added.
-func TestChoicesMoveLittle(t *testing.T) {
+// TestRemovedNodeChangesOneChoice removes one node and counts the changes in
+// the choices that all nodes must make alike. Read in reverse, it covers an
+// added node.
+func TestRemovedNodeChangesOneChoice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := drawNodes(t, 4)
 		size := rapid.IntRange(1, len(nodes)).Draw(t, "size")
@@ -48,7 +49,7 @@
 		}
 		home, _ := HomeOf("s", "a", nodes)
 		if other, _ := HomeOf("s", "a", fewer); home != removed && other != home {
-			t.Fatalf("the home moved from %v to %v", home, other)
+			t.Fatalf("the home changed from %v to %v", home, other)
 		}
 	})
 }
@@ -60,12 +61,12 @@
 		small := OfferSubset("r", "zone-0", nodes, size)
 		large := OfferSubset("r", "zone-0", nodes, 2*size)
 		if !slices.Equal(small, large[:len(small)]) {
-			t.Fatal("a larger subset replaces a part of the smaller one")
+			t.Fatal("a larger subset replaces agents of the smaller one")
 		}
 		inZone, _ := splitByZone(nodes, "zone-0")
 		near, _ := splitByZone(small, "zone-0")
 		if len(near) != min(size, len(inZone)) {
-			t.Fatalf("%d of %d from the own zone, which has %d", len(near), size, len(inZone))
+			t.Fatalf("%d of %d are from the router's zone, which has %d", len(near), size, len(inZone))
 		}
 	})
 }
--- a/internal/membership/tracker.go
+++ b/internal/membership/tracker.go
@@ -10,55 +10,55 @@
 	"github.com/bluebellchute/bluebellchute/internal/tick"
 )
 
-// peer is what a tracker holds of one node beside its record.
+// peer is the state that a tracker keeps of one node besides its record.
 type peer struct {
-	word      SelfReport
+	report    SelfReport
 	suspicion suspicion
 }
 
-// Tracker puts together three sources that disagree for a while whenever
-// something changes: the directory, which follows the platform's lagging list;
-// what nodes say of themselves in control messages; and the calls of this node
-// that failed. It is safe for concurrent use and reads no clock.
+// Tracker merges three sources that can disagree for a while after a change:
+// the directory, which follows the platform's lagging list; what nodes report
+// about themselves in control messages; and this node's own failed calls. It is
+// safe for concurrent use and reads no clock.
 //
-// A node is in the view as long as its record is in the directory, or while it
-// introduces itself because it cannot register. It is
-// leaving as soon as any source says so: to send work to a leaving server is
-// worse than to leave a live one idle until the sources agree. Its own word
-// holds for one incarnation only, so a restarted VM is live again. Suspicion
-// changes neither; it only moves a node behind the others for a while.
+// A node is in the view while its record is in the directory, or while it
+// introduces itself because it cannot register. It is leaving as soon as any
+// source says so: sending work to a leaving server is worse than leaving a live
+// one idle until the sources agree. A node's self-report holds for one
+// incarnation only, so a restarted VM is live again. Suspicion changes neither;
+// it only ranks a node behind the others for a while.
 type Tracker struct {
 	directory *Directory
 
-	mu      sync.Mutex
-	peers   *tick.Table[fleet.Address, peer]
-	guests  *tick.Table[fleet.Address, guest]
-	view    View
-	changed chan struct{}
+	mu           sync.Mutex
+	peers        *tick.Table[fleet.Address, peer]
+	unregistered *tick.Table[fleet.Address, unregisteredNode]
+	view         View
+	changed      chan struct{}
 }
 
 // NewTracker returns a tracker over the directory.
 func NewTracker(directory *Directory) *Tracker {
 	return &Tracker{
-		directory: directory,
-		peers:     tick.NewTable[fleet.Address, peer](),
-		guests:    tick.NewTable[fleet.Address, guest](),
-		changed:   make(chan struct{}),
+		directory:    directory,
+		peers:        tick.NewTable[fleet.Address, peer](),
+		unregistered: tick.NewTable[fleet.Address, unregisteredNode](),
+		changed:      make(chan struct{}),
 	}
 }
 
-// Observe takes in what a node says of itself. A message from it also proves
-// that it can be reached.
-func (t *Tracker) Observe(control fleet.Address, word SelfReport, now time.Time) {
+// Observe records a node's self-report. A message from the node also proves
+// that it is reachable, so it clears any suspicion.
+func (t *Tracker) Observe(control fleet.Address, report SelfReport, now time.Time) {
 	t.mu.Lock()
-	known := t.peer(control)
-	wasLeaving := known.word.Leaving
+	known := t.ensurePeer(control)
+	wasLeaving := known.report.Leaving
 	wasSuspected := known.suspicion.active(now)
-	if word.newerThan(known.word) {
-		known.word = word
+	if report.newerThan(known.report) {
+		known.report = report
 	}
-	known.suspicion.clear()
-	stale := wasSuspected || known.word.Leaving != wasLeaving
+	known.suspicion.reset()
+	stale := wasSuspected || known.report.Leaving != wasLeaving
 	t.mu.Unlock()
 	if stale {
 		t.Refresh(now)
@@ -68,9 +68,9 @@
 // CallFailed counts a call to a node that got no answer.
 func (t *Tracker) CallFailed(control fleet.Address, now time.Time) {
 	t.mu.Lock()
-	known := t.peer(control)
+	known := t.ensurePeer(control)
 	wasSuspected := known.suspicion.active(now)
-	known.suspicion.fail(now)
+	known.suspicion.recordFailure(now)
 	stale := !wasSuspected && known.suspicion.active(now)
 	t.mu.Unlock()
 	if stale {
@@ -78,7 +78,7 @@
 	}
 }
 
-func (t *Tracker) peer(control fleet.Address) *peer {
+func (t *Tracker) ensurePeer(control fleet.Address) *peer {
 	return t.peers.GetOrCreate(control, func() *peer { return &peer{} })
 }
 
@@ -89,16 +89,16 @@
 	return t.view
 }
 
-// Changed returns a channel that is closed when the view changes next. Take it
-// before View, so that no change is missed.
+// Changed returns a channel that is closed at the next change of the view. Call
+// it before View, so that no change is missed.
 func (t *Tracker) Changed() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.changed
 }
 
-// Refresh puts the sources together again. It is to be called after a change
-// of the directory, and now and then for suspicions that have ended.
+// Refresh merges the sources again. Call it after a change of the directory,
+// and periodically while NeedsRefresh reports true.
 func (t *Tracker) Refresh(now time.Time) View {
 	records, _ := t.directory.Records()
 	t.mu.Lock()
@@ -108,7 +108,7 @@
 	for _, record := range records {
 		listed[record.Control] = true
 	}
-	records = append(records, t.present(listed, now)...)
+	records = append(records, t.pruneUnregistered(listed, now)...)
 	for _, record := range records {
 		listed[record.Control] = true
 		next.Nodes = append(next.Nodes, t.resolve(record))
@@ -116,7 +116,7 @@
 			next.Suspects[record.Control] = true
 		}
 	}
-	t.forget(listed, now)
+	t.prune(listed, now)
 	if slices.Equal(next.Nodes, t.view.Nodes) && maps.Equal(next.Suspects, t.view.Suspects) {
 		return t.view
 	}
@@ -126,29 +126,29 @@
 	return t.view
 }
 
-// NeedsRefresh tells that the view holds something that ends by itself, so that
-// Refresh is due now and then.
+// NeedsRefresh reports whether the view contains suspicions or unregistered
+// nodes, which expire with time, so that Refresh has to be called periodically.
 func (t *Tracker) NeedsRefresh() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return len(t.view.Suspects) > 0 || t.guests.Len() > 0
+	return len(t.view.Suspects) > 0 || t.unregistered.Len() > 0
 }
 
-// resolve returns the node with the state that all sources together give it.
+// resolve returns the node with its state according to all sources.
 func (t *Tracker) resolve(record Record) fleet.Node {
 	node := record.Node
 	leaving := record.Leaving()
 	known := t.peers.Get(record.Control)
-	if known != nil && known.word.Incarnation >= record.Incarnation {
-		leaving = leaving || known.word.Leaving
+	if known != nil && known.report.Incarnation >= record.Incarnation {
+		leaving = leaving || known.report.Leaving
 	}
 	node.State = stateOf(leaving)
 	return node
 }
 
-// forget drops what is held of nodes that are gone, except fresh suspicions of
-// nodes whose record may still be on its way.
-func (t *Tracker) forget(listed map[fleet.Address]bool, now time.Time) {
+// prune removes the state of nodes that no longer exist, except active
+// suspicions of nodes whose record may still arrive.
+func (t *Tracker) prune(listed map[fleet.Address]bool, now time.Time) {
 	t.peers.Each(func(control fleet.Address, known *peer) {
 		if !listed[control] && !known.suspicion.active(now) {
 			t.peers.Delete(control)
--- a/internal/membership/tracker_test.go
+++ b/internal/membership/tracker_test.go
@@ -12,31 +12,32 @@
 
 var start = time.Unix(1000, 0)
 
-// TestStateOfNode walks through what the three sources may say of one node.
+// TestStateOfNode covers the combinations of what the three sources may state
+// about one node.
 func TestStateOfNode(t *testing.T) {
 	live := Record{Node: fleet.Node{VM: "vm-1", Control: node, State: fleet.VMLive, Incarnation: 5}}
-	marked := live
-	marked.PlatformState = fleet.VMLeaving
+	markedLeaving := live
+	markedLeaving.PlatformState = fleet.VMLeaving
 	restarted := live
 	restarted.Incarnation = 6
 	leaving := SelfReport{Incarnation: 5, LeavingChanges: 1, Leaving: true}
 	cases := map[string]struct {
 		records []Record
-		words   []SelfReport
+		reports []SelfReport
 		want    fleet.VMState
 	}{
-		"listed live":                        {[]Record{live}, nil, fleet.VMLive},
-		"its word leads over a lagging list": {[]Record{live}, []SelfReport{leaving}, fleet.VMLeaving},
-		"the list alone":                     {[]Record{marked}, []SelfReport{{Incarnation: 5}}, fleet.VMLeaving},
-		"late older word":                    {[]Record{live}, []SelfReport{leaving, {Incarnation: 5}}, fleet.VMLeaving},
-		"drain undone":                       {[]Record{live}, []SelfReport{leaving, {Incarnation: 5, LeavingChanges: 2}}, fleet.VMLive},
-		"restart heard":                      {[]Record{live}, []SelfReport{leaving, {Incarnation: 6}}, fleet.VMLive},
-		"late word of the last incarnation":  {[]Record{live}, []SelfReport{{Incarnation: 6}, leaving}, fleet.VMLive},
-		"restart registered, not heard":      {[]Record{live, restarted}, []SelfReport{leaving}, fleet.VMLive},
+		"listed live":                         {[]Record{live}, nil, fleet.VMLive},
+		"self-report precedes a lagging list": {[]Record{live}, []SelfReport{leaving}, fleet.VMLeaving},
+		"the list alone":                      {[]Record{markedLeaving}, []SelfReport{{Incarnation: 5}}, fleet.VMLeaving},
+		"late older report":                   {[]Record{live}, []SelfReport{leaving, {Incarnation: 5}}, fleet.VMLeaving},
+		"drain undone":                        {[]Record{live}, []SelfReport{leaving, {Incarnation: 5, LeavingChanges: 2}}, fleet.VMLive},
+		"restart reported":                    {[]Record{live}, []SelfReport{leaving, {Incarnation: 6}}, fleet.VMLive},
+		"late report of the last incarnation": {[]Record{live}, []SelfReport{{Incarnation: 6}, leaving}, fleet.VMLive},
+		"restart registered, not reported":    {[]Record{live, restarted}, []SelfReport{leaving}, fleet.VMLive},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			store, directory := unlimited(), NewDirectory()
+			store, directory := newUnlimitedStore(), NewDirectory()
 			tracker := NewTracker(directory)
 			for _, record := range test.records {
 				register(t, store, record)
@@ -45,8 +46,8 @@
 				t.Fatal(err)
 			}
 			tracker.Refresh(start)
-			for _, word := range test.words {
-				tracker.Observe(node, word, start)
+			for _, report := range test.reports {
+				tracker.Observe(node, report, start)
 			}
 			nodes := tracker.Refresh(start).Nodes
 			if len(nodes) != 1 || nodes[0].State != test.want {
@@ -56,13 +57,11 @@
 	}
 }
 
-// TestSuspicionHeals covers a node that cannot be reached for a while.
-// Symptom: calls to it fail; later it is well but gets no work.
-// Sequence: calls fail in a row; nothing is heard; the time passes.
-// Cause: a partition that heals. Suspicion must not outlive it, and must not
-// leave a node that is itself cut off without any peer.
-func TestSuspicionHeals(t *testing.T) {
-	store, directory := unlimited(), NewDirectory()
+// TestSuspicionExpires guards against a suspicion that outlasts a network
+// partition, and against a node that has no usable peers because it was itself
+// cut off and suspects all of them.
+func TestSuspicionExpires(t *testing.T) {
+	store, directory := newUnlimitedStore(), NewDirectory()
 	tracker := NewTracker(directory)
 	for _, control := range []fleet.Address{node, "127.0.0.1:2"} {
 		register(t, store, Record{Node: fleet.Node{Control: control, State: fleet.VMLive}})
@@ -92,22 +91,21 @@
 	}
 	tracker.Observe("127.0.0.1:2", SelfReport{Incarnation: 1}, start)
 	if got := usable(start); got != 1 {
-		t.Fatalf("%d usable with one heard again", got)
+		t.Fatalf("%d usable after a message from one of them", got)
 	}
 	if got := usable(start.Add(SuspicionTTL)); got != 2 {
-		t.Fatalf("%d usable after the time", got)
+		t.Fatalf("%d usable after the suspicions expired", got)
 	}
 }
 
-// TestGuests covers a node that cannot register.
-// Symptom: a node that is gone stays in the view, or a live one is missing.
-// Sequence: it introduces itself; then it registers, or is removed by the
-// platform's word, or is heard no more.
-// Cause: the platform is down while it starts, and comes back.
-func TestGuests(t *testing.T) {
-	store, directory := unlimited(), NewDirectory()
+// TestUnregisteredNodes guards against a deleted node that stays in the view,
+// and against a live one that is missing, when a node introduces itself during
+// an outage of the platform and later registers, is removed or sends no more
+// introductions.
+func TestUnregisteredNodes(t *testing.T) {
+	store, directory := newUnlimitedStore(), NewDirectory()
 	tracker := NewTracker(directory)
-	visitor := Record{Node: fleet.Node{VM: "vm-1", Control: node, State: fleet.VMLive, Incarnation: 5}}
+	unregistered := Record{Node: fleet.Node{VM: "vm-1", Control: node, State: fleet.VMLive, Incarnation: 5}}
 	count := func(now time.Time) int {
 		if _, err := directory.Load(t.Context(), store); err != nil {
 			t.Fatal(err)
@@ -120,59 +118,59 @@
 			t.Fatalf("%s: %d nodes, want %d", what, got, want)
 		}
 	}
-	tracker.Introduce(visitor, start)
+	tracker.Introduce(unregistered, start)
 	want("introduced", start, 1)
-	want("not heard of again", start.Add(guestLife), 0)
-	tracker.Introduce(visitor, start)
-	registered := register(t, store, visitor)
+	want("not introduced again", start.Add(unregisteredTTL), 0)
+	tracker.Introduce(unregistered, start)
+	registered := register(t, store, unregistered)
 	want("registered too", start, 1)
 	if err := store.Delete(t.Context(), Key(node), registered.Version); err != nil {
 		t.Fatal(err)
 	}
 	want("removed", start, 0)
-	tracker.Introduce(visitor, start)
+	tracker.Introduce(unregistered, start)
 	want("introduced again", start, 1)
-	gone := platform.Change{Object: platform.Object{Key: Key(node), Version: registered.Version + 9}, Deleted: true}
-	if err := directory.ApplyChanges(t.Context(), store, []platform.Change{gone}); err != nil {
+	deletion := platform.Change{Object: platform.Object{Key: Key(node), Version: registered.Version + 9}, Deleted: true}
+	if err := directory.ApplyChanges(t.Context(), store, []platform.Change{deletion}); err != nil {
 		t.Fatal(err)
 	}
 	if nodes := tracker.Refresh(start).Nodes; len(nodes) != 0 {
-		t.Fatalf("removed before its object was seen: %v", nodes)
+		t.Fatalf("an unregistered node whose object was deleted is still there: %v", nodes)
 	}
 }
 
-// reading is what a keeper finds in the list at a second after the start.
+// reading is the state of a VM in the list at a second after the start.
 type reading struct {
-	second int
-	state  fleet.VMState // platform.VMGone when it is not listed
-	writes int           // times that the node has registered again by then
+	second   int
+	state    fleet.VMState // platform.VMGone when it is not listed
+	rewrites int           // number of times that the node has registered again by then
 }
 
-// TestKeeper walks through readings of the list that lag, go back to an older
-// state or lose a VM. Each case tells at which second the keeper first writes.
-func TestKeeper(t *testing.T) {
+// TestReconciler covers readings of the list that lag, return an older state or
+// lose a VM. Each case states the second at which the reconciler first writes.
+func TestReconciler(t *testing.T) {
 	live := Record{Node: fleet.Node{VM: "vm-1", Control: node}, Version: 7}
-	marked := live
-	marked.PlatformState = fleet.VMLeaving
+	markedLeaving := live
+	markedLeaving.PlatformState = fleet.VMLeaving
 	cases := map[string]struct {
 		record   Record
 		readings []reading
 		second   int // -1 for no write
 		remove   bool
 	}{
-		"leaving at once":       {live, []reading{{0, fleet.VMLive, 0}, {1, fleet.VMLeaving, 0}}, 1, false},
-		"stale live":            {marked, []reading{{0, fleet.VMLive, 0}, {1, fleet.VMLeaving, 0}, {6, fleet.VMLive, 0}}, -1, false},
-		"live again":            {marked, []reading{{0, fleet.VMLive, 0}, {5, fleet.VMLive, 0}}, 5, false},
-		"gone":                  {live, []reading{{0, fleet.VMLive, 0}, {1, platform.VMGone, 0}, {6, platform.VMGone, 0}}, 6, true},
-		"missing for a moment":  {live, []reading{{0, fleet.VMLive, 0}, {1, platform.VMGone, 0}, {2, fleet.VMLive, 0}, {6, platform.VMGone, 0}}, -1, false},
-		"registered again":      {live, []reading{{0, fleet.VMLive, 0}, {1, platform.VMGone, 0}, {6, platform.VMGone, 1}, {11, platform.VMGone, 1}}, 11, true},
-		"new, not yet listed":   {live, []reading{{0, platform.VMGone, 0}, {29, platform.VMGone, 0}}, -1, false},
-		"never listed":          {live, []reading{{0, platform.VMGone, 0}, {30, platform.VMGone, 0}}, 30, true},
-		"in accord all the way": {marked, []reading{{0, fleet.VMLeaving, 0}, {60, fleet.VMLeaving, 0}}, -1, false},
+		"leaving immediately": {live, []reading{{0, fleet.VMLive, 0}, {1, fleet.VMLeaving, 0}}, 1, false},
+		"stale live":          {markedLeaving, []reading{{0, fleet.VMLive, 0}, {1, fleet.VMLeaving, 0}, {6, fleet.VMLive, 0}}, -1, false},
+		"live again":          {markedLeaving, []reading{{0, fleet.VMLive, 0}, {5, fleet.VMLive, 0}}, 5, false},
+		"gone":                {live, []reading{{0, fleet.VMLive, 0}, {1, platform.VMGone, 0}, {6, platform.VMGone, 0}}, 6, true},
+		"missing briefly":     {live, []reading{{0, fleet.VMLive, 0}, {1, platform.VMGone, 0}, {2, fleet.VMLive, 0}, {6, platform.VMGone, 0}}, -1, false},
+		"registered again":    {live, []reading{{0, fleet.VMLive, 0}, {1, platform.VMGone, 0}, {6, platform.VMGone, 1}, {11, platform.VMGone, 1}}, 11, true},
+		"new, not yet listed": {live, []reading{{0, platform.VMGone, 0}, {29, platform.VMGone, 0}}, -1, false},
+		"never listed":        {live, []reading{{0, platform.VMGone, 0}, {30, platform.VMGone, 0}}, 30, true},
+		"always consistent":   {markedLeaving, []reading{{0, fleet.VMLeaving, 0}, {60, fleet.VMLeaving, 0}}, -1, false},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			keeper := NewReconciler()
+			reconciler := NewReconciler()
 			second := -1
 			for _, reading := range test.readings {
 				var vms []platform.VM
@@ -181,8 +179,8 @@
 				}
 				now := start.Add(time.Duration(reading.second) * time.Second)
 				record := test.record
-				record.Version += platform.Version(reading.writes)
-				writes := keeper.Reconcile(now, vms, []Record{record})
+				record.Version += platform.Version(reading.rewrites)
+				writes := reconciler.Reconcile(now, vms, []Record{record})
 				if len(writes) == 0 || second >= 0 {
 					continue
 				}
@@ -198,18 +196,17 @@
 	}
 }
 
-// TestKeeperSparesMostNodes covers a list that is wrongly empty.
-// Symptom: all nodes vanish at once and the fleet stops.
-// Sequence: the platform lists no VM for longer than the settle time.
-// Cause: a fault of the platform; a real loss never takes every VM at once.
-func TestKeeperSparesMostNodes(t *testing.T) {
-	keeper := NewReconciler()
+// TestReconcilerLimitsRemovals guards against the removal of the whole fleet
+// when a fault of the platform returns an empty list for longer than the
+// confirmation time. A real loss never takes every VM at once.
+func TestReconcilerLimitsRemovals(t *testing.T) {
+	reconciler := NewReconciler()
 	var records []Record
 	for i := range 100 {
 		records = append(records, Record{Node: fleet.Node{Control: fleet.Address(rune('a' + i))}})
 	}
-	keeper.Reconcile(start, nil, records)
-	if writes := keeper.Reconcile(start.Add(time.Hour), nil, records); len(writes) != maxRemovals {
-		t.Fatalf("%d nodes removed at one reading", len(writes))
+	reconciler.Reconcile(start, nil, records)
+	if writes := reconciler.Reconcile(start.Add(time.Hour), nil, records); len(writes) != maxRemovals {
+		t.Fatalf("%d nodes removed after one reading", len(writes))
 	}
 }
