--- a/internal/inifile/describe.go
+++ b/internal/inifile/describe.go
@@ -6,13 +6,12 @@
 	"strings"
 )
 
-// Description tells of one key what a document says about it. Texts that do
-// not apply are empty.
+// Description is the documentation of one key. Fields that don't apply are empty.
 type Description struct {
-	Section  string // as it stands in the file, without brackets
+	Section  string // as written in the file, without brackets
 	Key      string
 	Default  string
-	Unit     string // the unit, or the form of the value
+	Unit     string // the unit, or the format of the value
 	Allowed  string
 	Required bool
 	Doc      string
@@ -39,16 +38,16 @@
 	return Description{
 		Section:  section,
 		Key:      k.name,
-		Default:  k.fallback,
-		Unit:     k.form(),
+		Default:  k.defaultValue,
+		Unit:     k.unitOrFormat(),
 		Allowed:  k.allowed(),
 		Required: k.required,
 		Doc:      k.doc,
 	}
 }
 
-// form is the unit of a key, or how a value is written that has none.
-func (k key) form() string {
+// unitOrFormat returns the unit of a key, or the format of a value without unit.
+func (k key) unitOrFormat() string {
 	switch {
 	case k.unit != "":
 		return k.unit
--- a/internal/inifile/inifile_test.go
+++ b/internal/inifile/inifile_test.go
@@ -41,13 +41,13 @@
 
 func (c *config) Validate() []Problem {
 	if c.Limits.Slots == 13 {
-		return []Problem{{Section: "limits", Key: "slots", Message: "13 does not go with this zone"}}
+		return []Problem{{Section: "limits", Key: "slots", Message: "13 is not allowed in this zone"}}
 	}
 	return nil
 }
 
-// TestFiles runs testdata/files: each case is a file and either the values
-// that it gives or all of its mistakes.
+// TestFiles runs testdata/files. Each case is a file with either the parsed
+// values or all problems of the file.
 func TestFiles(t *testing.T) {
 	datadriven.RunTest(t, "testdata/files", func(t *testing.T, d *datadriven.TestData) string {
 		var c config
@@ -58,8 +58,8 @@
 	})
 }
 
-// TestWriteIsRead checks that a written file gives the same values again.
-func TestWriteIsRead(t *testing.T) {
+// TestWriteThenParse checks that parsing a written file returns the same values.
+func TestWriteThenParse(t *testing.T) {
 	var first, second config
 	text := "[node]\nvm=vm-1\ncontrol=[::1]:80\n[limits]\npeers=10.0.0.1:1,10.0.0.2:2\n[account.b]\n[account.a]\nshare=3\n"
 	if err := Parse("first", []byte(text), &first); err != nil {
@@ -77,13 +77,13 @@
 	}
 }
 
-// TestWriteDefault checks that only the required keys are left to fill in.
+// TestWriteDefault checks that a written default file lacks only the required keys.
 func TestWriteDefault(t *testing.T) {
 	var written bytes.Buffer
 	if err := WriteDefault(&written, &config{}); err != nil {
 		t.Fatal(err)
 	}
-	const wantLine = "# Longest wait. Unit: duration. Least: 10ms. Largest: 1m.\nwait = 2s\n"
+	const wantLine = "# Longest wait. Unit: duration. Minimum: 10ms. Maximum: 1m.\nwait = 2s\n"
 	if !bytes.Contains(written.Bytes(), []byte(wantLine)) {
 		t.Errorf("%q is missing in\n%s", wantLine, &written)
 	}
--- a/internal/inifile/layout.go
+++ b/internal/inifile/layout.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// repeatedSuffix ends the tag of a section that may come several times.
+// repeatedSuffix ends the tag of a section that may be repeated.
 const repeatedSuffix = ".*"
 
 // section is one section of a bound struct.
@@ -19,14 +19,14 @@
 
 // key is one key of a section.
 type key struct {
-	name     string
-	doc      string
-	unit     string
-	fallback string // the tag default
-	min, max string
-	oneOf    []string
-	required bool
-	value    reflect.Value
+	name         string
+	doc          string
+	unit         string
+	defaultValue string // the tag default
+	min, max     string
+	oneOf        []string
+	required     bool
+	value        reflect.Value
 }
 
 // sectionsOf lists the sections of the struct that target points to.
@@ -61,7 +61,8 @@
 	return section{name: base, doc: field.Tag.Get("doc"), repeated: repeated, value: value}
 }
 
-// keysOf lists the keys of one section's struct. An embedded struct lends its own.
+// keysOf lists the keys of one section's struct, including those of embedded
+// structs.
 func keysOf(structure reflect.Value) []key {
 	var keys []key
 	for i := range structure.NumField() {
@@ -79,14 +80,14 @@
 
 func newKey(name string, tag reflect.StructTag, value reflect.Value) key {
 	k := key{
-		name:     name,
-		doc:      tag.Get("doc"),
-		unit:     tag.Get("unit"),
-		fallback: tag.Get("default"),
-		min:      tag.Get("min"),
-		max:      tag.Get("max"),
-		required: tag.Get("required") == "true",
-		value:    value,
+		name:         name,
+		doc:          tag.Get("doc"),
+		unit:         tag.Get("unit"),
+		defaultValue: tag.Get("default"),
+		min:          tag.Get("min"),
+		max:          tag.Get("max"),
+		required:     tag.Get("required") == "true",
+		value:        value,
 	}
 	if choices := tag.Get("oneof"); choices != "" {
 		k.oneOf = strings.Split(choices, "|")
--- a/internal/inifile/read.go
+++ b/internal/inifile/read.go
@@ -9,8 +9,8 @@
 	"gopkg.in/ini.v1"
 )
 
-// loadOptions make repeated keys visible, so that they can be reported instead
-// of the last one winning in silence, and keep values as they are written.
+// loadOptions keep repeated keys, so that they can be reported instead of the
+// last one silently winning, and keep values as they are written.
 var loadOptions = ini.LoadOptions{
 	AllowShadows:               true,
 	AllowDuplicateShadowValues: true,
@@ -21,7 +21,7 @@
 }
 
 // Read binds the file at path to the struct that target points to. It returns
-// an *Error with all mistakes of the file, also when it can't be read.
+// an *Error with all problems of the file, also if it can't be read.
 func Read(path string, target any) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -30,8 +30,8 @@
 	return Parse(path, data, target)
 }
 
-// Parse binds the text of a file to the struct that target points to. name
-// stands for the file in errors. It returns an *Error with all mistakes.
+// Parse binds the text of a file to the struct that target points to. Errors
+// refer to the file by name. It returns an *Error with all problems.
 func Parse(name string, data []byte, target any) error {
 	file, err := ini.LoadSources(loadOptions, data)
 	if err != nil {
@@ -39,26 +39,26 @@
 	}
 	b := binder{file: file, sections: sectionsOf(target)}
 	b.bind()
-	// Rules over several keys are only checked on values that are valid by
-	// themselves, otherwise one mistake would be reported twice.
-	if validator, ok := target.(Validator); ok && len(b.mistakes) == 0 {
-		b.mistakes = validator.Validate()
+	// Rules over several keys are only checked if each value is valid by itself;
+	// otherwise one problem would be reported twice.
+	if validator, ok := target.(Validator); ok && len(b.problems) == 0 {
+		b.problems = validator.Validate()
 	}
-	if len(b.mistakes) > 0 {
-		return &Error{File: name, Problems: b.mistakes}
+	if len(b.problems) > 0 {
+		return &Error{File: name, Problems: b.problems}
 	}
 	return nil
 }
 
-// binder carries one call of Parse.
+// binder holds the state of one call of Parse.
 type binder struct {
 	file     *ini.File
 	sections []section
-	mistakes []Problem
+	problems []Problem
 }
 
-func (b *binder) add(section, key, problem string) {
-	b.mistakes = append(b.mistakes, Problem{Section: section, Key: key, Message: problem})
+func (b *binder) addProblem(section, key, problem string) {
+	b.problems = append(b.problems, Problem{Section: section, Key: key, Message: problem})
 }
 
 func (b *binder) bind() {
@@ -72,18 +72,18 @@
 	}
 }
 
-// rejectUnknownSections reports sections that no field stands for, and keys
-// before the first section.
+// rejectUnknownSections reports sections without a field, and keys before the
+// first section.
 func (b *binder) rejectUnknownSections() {
 	for _, found := range b.file.Sections() {
 		if found.Name() == ini.DefaultSection {
 			for _, name := range found.KeyStrings() {
-				b.add("", "", "key "+name+" stands before the first section")
+				b.addProblem("", "", "key "+name+" appears before the first section")
 			}
 			continue
 		}
 		if !b.known(found.Name()) {
-			b.add(found.Name(), "", "unknown section")
+			b.addProblem(found.Name(), "", "unknown section")
 		}
 	}
 }
@@ -97,7 +97,7 @@
 	return false
 }
 
-// bindRepeated appends one struct for each section of the name, in the order
+// bindRepeated appends one struct for each section with the prefix, in the order
 // of the file.
 func (b *binder) bindRepeated(s section) {
 	for _, found := range b.file.Sections() {
@@ -112,7 +112,7 @@
 	}
 }
 
-// bindKeys binds one section, which the file may lack.
+// bindKeys binds one section. A section that the file lacks gets the defaults.
 func (b *binder) bindKeys(sectionName string, structure reflect.Value) {
 	found, err := b.file.GetSection(sectionName)
 	if err != nil {
@@ -132,34 +132,35 @@
 	}
 	for _, name := range found.KeyStrings() {
 		if !known[name] {
-			b.add(sectionName, name, "unknown key")
+			b.addProblem(sectionName, name, "unknown key")
 		}
 	}
 }
 
 func (b *binder) bindKey(sectionName string, found *ini.Section, k key) {
-	// HasKey and GetKey of the library also look into parent sections, which
-	// would let [account] supply values to [account.a].
+	// The library's HasKey and GetKey also look into parent sections, so that
+	// [account.a] would inherit values of [account].
 	text, times := ownValue(found, k.name)
 	if times > 1 {
-		b.add(sectionName, k.name, "set more than once")
+		b.addProblem(sectionName, k.name, "set more than once")
 	}
 	if text == "" && k.required {
-		b.add(sectionName, k.name, "required")
+		b.addProblem(sectionName, k.name, "required")
 		return
 	}
 	if text == "" {
-		text = k.fallback
+		text = k.defaultValue
 	}
 	if text == "" {
 		return
 	}
 	if err := k.set(text); err != nil {
-		b.add(sectionName, k.name, err.Error())
+		b.addProblem(sectionName, k.name, err.Error())
 	}
 }
 
-// ownValue returns the value of a key and how many times the section sets it.
+// ownValue returns the value of a key and how many times the section sets it,
+// without regard to parent sections.
 func ownValue(found *ini.Section, name string) (text string, times int) {
 	for _, k := range found.Keys() {
 		if k.Name() == name {
--- a/internal/inifile/value.go
+++ b/internal/inifile/value.go
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// setSlice stores a list of values that are separated by commas.
+// setSlice parses and stores comma-separated values.
 func setSlice(slice reflect.Value, text string) error {
 	parts := lo.FilterMap(strings.Split(text, ","), func(part string, _ int) (string, bool) {
 		part = strings.TrimSpace(part)
@@ -68,7 +68,7 @@
 	case target == durationType:
 		duration, err := time.ParseDuration(text)
 		value.SetInt(int64(duration))
-		return value, explain(err, text, "a duration such as 250ms, 2s or 10m")
+		return value, formatError(err, text, "a duration such as 250ms, 2s or 10m")
 	}
 	return parseKind(value, text)
 }
@@ -81,42 +81,42 @@
 	case reflect.Bool:
 		parsed, err := strconv.ParseBool(text)
 		value.SetBool(parsed)
-		return value, explain(err, text, "true or false")
+		return value, formatError(err, text, "true or false")
 	case reflect.Int, reflect.Int64:
 		parsed, err := strconv.ParseInt(text, 10, 64)
 		value.SetInt(parsed)
-		return value, explain(err, text, "a whole number")
+		return value, formatError(err, text, "a whole number")
 	case reflect.Uint64:
 		parsed, err := strconv.ParseUint(text, 10, 64)
 		value.SetUint(parsed)
-		return value, explain(err, text, "a whole number that is not negative")
+		return value, formatError(err, text, "a whole number that is not negative")
 	case reflect.Float64:
 		parsed, err := strconv.ParseFloat(text, 64)
 		if err == nil && parsed-parsed != 0 {
 			err = errors.New("not finite")
 		}
 		value.SetFloat(parsed)
-		return value, explain(err, text, "a finite number")
+		return value, formatError(err, text, "a finite number")
 	default:
-		panic(fmt.Sprintf("inifile: no keys of type %s", value.Type()))
+		panic(fmt.Sprintf("inifile: type %s is not supported for a key", value.Type()))
 	}
 }
 
-// explain returns an error that says what is allowed, or nil when err is nil.
-func explain(err error, text, allowed string) error {
+// formatError returns an error that names the allowed format, or nil if err is nil.
+func formatError(err error, text, allowed string) error {
 	if err == nil {
 		return nil
 	}
 	return errors.Errorf("%q is not %s", text, allowed)
 }
 
-// checkRange compares a value with the tags min and max.
+// checkRange checks a value against the tags min and max.
 func (k key) checkRange(value reflect.Value) error {
 	if k.min != "" && compare(value, mustParse(value.Type(), k.min)) < 0 {
-		return errors.Errorf("%s is below the least value %s", format(value), k.min)
+		return errors.Errorf("%s is below the minimum %s", format(value), k.min)
 	}
 	if k.max != "" && compare(value, mustParse(value.Type(), k.max)) > 0 {
-		return errors.Errorf("%s is above the largest value %s", format(value), k.max)
+		return errors.Errorf("%s is above the maximum %s", format(value), k.max)
 	}
 	return nil
 }
@@ -124,7 +124,7 @@
 func mustParse(target reflect.Type, text string) reflect.Value {
 	value, err := parse(target, text)
 	if err != nil {
-		panic(fmt.Sprintf("inifile: bad tag: %v", err))
+		panic(fmt.Sprintf("inifile: invalid tag: %v", err))
 	}
 	return value
 }
@@ -138,11 +138,11 @@
 	case a.CanFloat():
 		return cmp.Compare(a.Float(), b.Float())
 	default:
-		panic(fmt.Sprintf("inifile: no range for type %s", a.Type()))
+		panic(fmt.Sprintf("inifile: type %s has no range", a.Type()))
 	}
 }
 
-// format returns the value as it stands in a file.
+// format returns the value as it is written in a file.
 func format(value reflect.Value) string {
 	if value.Kind() != reflect.Slice {
 		return fmt.Sprint(value.Interface())
--- a/internal/inifile/write.go
+++ b/internal/inifile/write.go
@@ -10,13 +10,12 @@
 
 // WriteDefault writes a file with every section and key of the struct that
 // target points to, each with its documentation, unit, limits and default.
-// Keys that are required are left empty; all other lines are valid as they
-// stand.
+// Required keys are left empty; all other lines are valid.
 func WriteDefault(w io.Writer, target any) error {
-	return write(w, target, func(k key) string { return k.fallback })
+	return write(w, target, func(k key) string { return k.defaultValue })
 }
 
-// Write writes the values that the struct holds, documented in the same way.
+// Write writes the current values of the struct, documented in the same way.
 func Write(w io.Writer, target any) error {
 	return write(w, target, func(k key) string { return format(k.value) })
 }
@@ -39,7 +38,7 @@
 	}
 	if s.value.Len() == 0 {
 		example := reflect.New(s.value.Type().Elem()).Elem()
-		writeKeys(out, s.name+".example", s, example, func(k key) string { return k.fallback })
+		writeKeys(out, s.name+".example", s, example, func(k key) string { return k.defaultValue })
 		return
 	}
 	for i := range s.value.Len() {
@@ -74,10 +73,10 @@
 		parts = append(parts, "One of: "+strings.Join(k.oneOf, ", ")+".")
 	}
 	if k.min != "" {
-		parts = append(parts, "Least: "+k.min+".")
+		parts = append(parts, "Minimum: "+k.min+".")
 	}
 	if k.max != "" {
-		parts = append(parts, "Largest: "+k.max+".")
+		parts = append(parts, "Maximum: "+k.max+".")
 	}
 	if k.required {
 		parts = append(parts, "Required.")
