--- a/internal/daemon/async.go
+++ b/internal/daemon/async.go
@@ -5,24 +5,24 @@
 	"sync/atomic"
 )
 
-// asyncQueue is how many log records may wait to be written.
-const asyncQueue = 512
+// asyncQueueSize is the maximum number of log records that wait to be written.
+const asyncQueueSize = 512
 
-// AsyncWriter writes to another writer without blocking its callers. When that
-// writer does not keep up, records are dropped and counted: a request must
-// never wait for a log.
+// AsyncWriter writes to another writer without blocking its callers. Records
+// that the other writer can't keep up with are dropped and counted, since a
+// request must never wait for the log.
 type AsyncWriter struct {
 	queue   chan []byte
 	dropped atomic.Uint64
 }
 
-// NewAsyncWriter returns a writer that passes what it is given on to out for
-// as long as the process lives.
+// NewAsyncWriter returns a writer that forwards records to out until the process
+// exits.
 func NewAsyncWriter(out io.Writer) *AsyncWriter {
-	w := &AsyncWriter{queue: make(chan []byte, asyncQueue)}
+	w := &AsyncWriter{queue: make(chan []byte, asyncQueueSize)}
 	go func() {
 		for record := range w.queue {
-			_, _ = out.Write(record) // there is nowhere else to tell it
+			_, _ = out.Write(record) // there is nowhere else to report it
 		}
 	}()
 	return w
@@ -38,5 +38,5 @@
 	return len(record), nil
 }
 
-// Dropped returns how many records were dropped.
+// Dropped returns the number of dropped records.
 func (w *AsyncWriter) Dropped() uint64 { return w.dropped.Load() }
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -4,8 +4,8 @@
 	"github.com/bluebellchute/bluebellchute/internal/fleet"
 )
 
-// Common holds the sections that all fleet nodes share. Configurations of
-// nodes embed it.
+// Common holds the configuration sections that all fleet nodes share. The
+// configuration of each kind of node embeds it.
 type Common struct {
 	Node     NodeSection     `section:"node" doc:"This process and the VM that it runs on."`
 	Platform PlatformSection `section:"platform" doc:"The platform's object API."`
@@ -14,7 +14,7 @@
 	Log      LogSection      `section:"log" doc:"Log records on standard error."`
 }
 
-// NodeSection tells a node who and where it is.
+// NodeSection holds a node's identity and location.
 type NodeSection struct {
 	VM      string        `key:"vm" required:"true" doc:"Name of the VM in the platform's list."`
 	Zone    fleet.Zone    `key:"zone" required:"true" doc:"Availability zone."`
@@ -23,38 +23,38 @@
 	Data    fleet.Address `key:"data" required:"true" doc:"Data port: IP number and port."`
 }
 
-// PlatformSection tells where the platform is.
+// PlatformSection holds the address of the platform.
 type PlatformSection struct {
 	Address fleet.Address `key:"address" required:"true" doc:"IP number and port of the object API."`
 }
 
-// ControlSection holds what all nodes of a fleet share.
+// ControlSection holds the control settings that all nodes of a fleet share.
 type ControlSection struct {
 	Token string `key:"token" required:"true" doc:"Secret that all nodes of the fleet share."`
 }
 
-// PeersSection names some nodes for a start while the platform is down.
+// PeersSection lists nodes to contact when the platform is down at startup.
 type PeersSection struct {
 	Control []fleet.Address `key:"control" doc:"Control addresses, separated by commas."`
 }
 
-// LogSection tells what is logged and how.
+// LogSection holds the level and format of the log.
 type LogSection struct {
 	Level  string `key:"level" default:"info" oneof:"debug|info|warning|error" doc:"Least level that is written."`
 	Format string `key:"format" default:"json" oneof:"json|text" doc:"Form of a record."`
 }
 
-// CommonConfig returns the common sections. It makes every configuration that
-// embeds Common a NodeConfig.
+// CommonConfig returns the common sections. Every configuration that embeds
+// Common implements NodeConfig by it.
 func (c *Common) CommonConfig() *Common { return c }
 
-// NodeConfig is a configuration of a fleet node: a pointer to a struct that
+// NodeConfig is the configuration of a fleet node: a pointer to a struct that
 // embeds Common and is bound by package inifile.
 type NodeConfig interface {
 	CommonConfig() *Common
 }
 
-// Self returns the node as the others know it. service is empty for a router.
+// Self returns the node's description for its peers. service is empty for a router.
 func (s NodeSection) Self(role fleet.Role, service fleet.Service) fleet.Node {
 	return fleet.Node{
 		VM:      s.VM,
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -71,24 +71,24 @@
 			var stdout, stderr bytes.Buffer
 			got := ParseFlags("bluebell-test", test.args, new(testConfig), &stdout, &stderr)
 			if got != test.want {
-				t.Errorf("verdict %+v, want %+v", got, test.want)
+				t.Errorf("result %+v, want %+v", got, test.want)
 			}
-			wantAll(t, "stdout", stdout.String(), test.stdout)
-			wantAll(t, "stderr", stderr.String(), test.stderr)
+			assertContainsAll(t, "stdout", stdout.String(), test.stdout)
+			assertContainsAll(t, "stderr", stderr.String(), test.stderr)
 		})
 	}
 }
 
-func wantAll(t *testing.T, stream, text string, parts []string) {
+func assertContainsAll(t *testing.T, stream, text string, substrings []string) {
 	t.Helper()
-	for _, part := range parts {
-		if !strings.Contains(text, part) {
-			t.Errorf("%s lacks %q:\n%s", stream, part, text)
+	for _, substring := range substrings {
+		if !strings.Contains(text, substring) {
+			t.Errorf("%s lacks %q:\n%s", stream, substring, text)
 		}
 	}
 }
 
-// fakeService drains when told by the test.
+// fakeService is a Service whose draining and failure the test controls.
 type fakeService struct {
 	draining chan struct{}
 	drained  chan error
@@ -141,9 +141,8 @@
 			signals <- syscall.SIGTERM
 			signals <- syscall.SIGINT
 		}, ErrInterrupted},
-		// Symptom: requests in progress are cut at a planned stop.
-		// Events: SIGTERM comes twice.
-		// Cause: any second signal ended the process at once.
+		// A repeated SIGTERM must not abort requests in progress: a supervisor
+		// may send it twice during a planned stop.
 		{"repeated signal", func(s *fakeService, signals chan<- os.Signal) {
 			signals <- syscall.SIGTERM
 			<-s.draining
@@ -181,8 +180,8 @@
 	return logger
 }
 
-// TestNodeAnswersWhileDraining checks that peers reach a node until its work in
-// progress is done, and are told that it is not ready.
+// TestNodeAnswersWhileDraining checks that a draining node replies to its peers
+// and reports that it isn't ready until its work in progress has finished.
 func TestNodeAnswersWhileDraining(t *testing.T) {
 	address := freeAddress(t)
 	config := &Common{Node: NodeSection{Control: address}, Control: ControlSection{Token: "secret"}}
@@ -205,10 +204,10 @@
 	signals <- syscall.SIGTERM
 	<-service.draining
 	if reason := readiness.NotReady(); reason != "draining" {
-		t.Errorf("not ready for %q, want draining", reason)
+		t.Errorf("reason %q for not being ready, want draining", reason)
 	}
 	if err := reach(injector, address); err != nil {
-		t.Errorf("a draining node does not answer: %v", err)
+		t.Errorf("a draining node does not reply: %v", err)
 	}
 	service.drained <- nil
 	if err := <-ended; err != nil {
@@ -216,7 +215,8 @@
 	}
 }
 
-// reach calls the node; that it serves no Peer service does not matter.
+// reach calls the node. A 404 counts as a reply, since the test registers no Peer
+// service.
 func reach(injector do.Injector, address fleet.Address) error {
 	pool := do.MustInvoke[*control.Pool](injector)
 	_, err := pool.Peer(address).Status(context.Background(), &rpc.StatusRequest{})
@@ -226,7 +226,7 @@
 	return err
 }
 
-// freeAddress returns a loopback address that nobody listens on.
+// freeAddress returns a loopback address on which nothing listens.
 func freeAddress(t *testing.T) fleet.Address {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/daemon/doc.go
+++ b/internal/daemon/doc.go
@@ -1,8 +1,8 @@
-// Package daemon is the frame of all daemons: flags, configuration, logs,
-// signals, readiness, the control port, and the wiring of their parts.
+// Package daemon is the framework that all daemons share: flags, configuration,
+// logging, signals, readiness, the control port and dependency injection.
 //
-// The main function of a fleet node is one call of Main with the wiring of
-// its parts:
+// The main function of a fleet node calls Main with a function that provides
+// the node's components:
 //
 //	func main() {
 //		os.Exit(daemon.Main("bluebell-agent", new(agent.Config), wire))
@@ -19,7 +19,7 @@
 //	}
 //
 // where agent.Config embeds Common and adds sections of its own. The service
-// calls SetReady of the injector's *Readiness once it can take work.
+// calls SetReady on the injector's *Readiness once it can accept work.
 //
-// Processes that are no node use ParseFlags, NewLogger and RunToExit.
+// Processes that aren't fleet nodes use ParseFlags, NewLogger and RunUntilSignal.
 package daemon
--- a/internal/daemon/flags.go
+++ b/internal/daemon/flags.go
@@ -14,7 +14,7 @@
 const (
 	ExitSuccess   = 0
 	ExitFailure   = 1
-	ExitBadConfig = 2 // wrong flags or a wrong configuration
+	ExitBadConfig = 2 // invalid flags or configuration
 )
 
 // Flags are the command line flags of all daemons.
@@ -25,20 +25,21 @@
 	Version     bool   `long:"version" description:"Print the version and exit."`
 }
 
-// ParseResult tells what a process does after its flags have been handled.
+// ParseResult is what a process does after its flags have been parsed.
 type ParseResult struct {
-	Exit       bool // end now with Status
+	Exit       bool // exit immediately with ExitStatus
 	ExitStatus int
-	ConfigPath string // path of the configuration file, when the process goes on
+	ConfigPath string // path of the configuration file if the process continues
 }
 
-// ParseFlags handles the command line and reads the configuration file into
-// config, which package inifile binds. Mistakes go to stderr, all of them.
+// ParseFlags parses the command line and reads the configuration file into
+// config, which package inifile binds. It reports all problems of the file on
+// stderr.
 func ParseFlags(name string, args []string, config any, stdout, stderr io.Writer) ParseResult {
 	var options Flags
 	parser := flags.NewNamedParser(name, flags.HelpFlag|flags.PassDoubleDash)
 	if _, err := parser.AddGroup("Options", "", &options); err != nil {
-		panic(err) // a mistake in the tags of Flags
+		panic(err) // invalid struct tags of Flags
 	}
 	rest, err := parser.ParseArgs(args)
 	var flagsError *flags.Error
@@ -53,23 +54,23 @@
 		fmt.Fprintf(stderr, "%s: %v\n", name, err)
 		return ParseResult{Exit: true, ExitStatus: ExitBadConfig}
 	}
-	return options.follow(name, config, stdout, stderr)
+	return options.apply(name, config, stdout, stderr)
 }
 
-func (o Flags) follow(name string, config any, stdout, stderr io.Writer) ParseResult {
+func (o Flags) apply(name string, config any, stdout, stderr io.Writer) ParseResult {
 	if o.Version {
 		fmt.Fprintf(stdout, "%s %s\n", name, Version())
 		return ParseResult{Exit: true, ExitStatus: ExitSuccess}
 	}
 	if o.Config == "" {
-		return o.withoutFile(name, config, stdout, stderr)
+		return o.applyWithoutFile(name, config, stdout, stderr)
 	}
 	if err := inifile.Read(o.Config, config); err != nil {
 		fmt.Fprintln(stderr, err)
 		return ParseResult{Exit: true, ExitStatus: ExitBadConfig}
 	}
 	if o.PrintConfig {
-		return printed(inifile.Write(stdout, config))
+		return printResult(inifile.Write(stdout, config))
 	}
 	if o.CheckConfig {
 		return ParseResult{Exit: true, ExitStatus: ExitSuccess}
@@ -77,15 +78,15 @@
 	return ParseResult{ConfigPath: o.Config}
 }
 
-func (o Flags) withoutFile(name string, config any, stdout, stderr io.Writer) ParseResult {
+func (o Flags) applyWithoutFile(name string, config any, stdout, stderr io.Writer) ParseResult {
 	if o.PrintConfig {
-		return printed(inifile.WriteDefault(stdout, config))
+		return printResult(inifile.WriteDefault(stdout, config))
 	}
 	fmt.Fprintf(stderr, "%s: --config is required\n", name)
 	return ParseResult{Exit: true, ExitStatus: ExitBadConfig}
 }
 
-func printed(err error) ParseResult {
+func printResult(err error) ParseResult {
 	if err != nil {
 		return ParseResult{Exit: true, ExitStatus: ExitFailure}
 	}
--- a/internal/daemon/log.go
+++ b/internal/daemon/log.go
@@ -6,7 +6,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// NewLogger returns a logger that writes records to out as the section says.
+// NewLogger returns a logger that writes to out with the configured level and format.
 func NewLogger(config LogSection, out io.Writer) *logrus.Logger {
 	logger := logrus.New()
 	logger.SetOutput(out)
--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -13,11 +13,11 @@
 	"github.com/bluebellchute/bluebellchute/internal/event"
 )
 
-// Wire provides the parts of a role to the injector, among them a Service. The
-// injector already holds the configuration by its type.
+// Wire provides a role's components to the injector, including a Service. The
+// injector already provides the configuration under its own type.
 type Wire func(injector do.Injector)
 
-// Main is the whole main function of a fleet node. It returns the exit status.
+// Main implements the main function of a fleet node. It returns the exit status.
 func Main[C NodeConfig](name string, config C, wire Wire) int {
 	parsed := ParseFlags(name, os.Args[1:], config, os.Stdout, os.Stderr)
 	if parsed.Exit {
--- a/internal/daemon/node.go
+++ b/internal/daemon/node.go
@@ -14,14 +14,14 @@
 	"github.com/bluebellchute/bluebellchute/internal/control"
 )
 
-// Incarnation is the start time of a node in Unix nanoseconds. A node that
-// restarts is known by its higher incarnation.
+// Incarnation is the start time of a node in Unix nanoseconds. It is higher
+// after each restart, so peers can recognize a restarted node.
 type Incarnation uint64
 
-// NewInjector returns an injector with what every node needs: the common
-// sections (*Common), logrus.FieldLogger, prometheus.Registerer and Gatherer,
-// *Readiness, Incarnation, *control.Metrics, *control.Server and
-// *control.Pool. The wiring of the node adds the rest.
+// NewInjector returns an injector that provides what every node needs: the
+// common sections (*Common), logrus.FieldLogger, prometheus.Registerer and
+// Gatherer, *Readiness, Incarnation, *control.Metrics, *control.Server and
+// *control.Pool. The node's Wire function adds the rest.
 func NewInjector(config *Common, logger logrus.FieldLogger) do.Injector {
 	injector := do.New()
 	registry := prometheus.NewRegistry()
@@ -38,7 +38,7 @@
 }
 
 // RegisterProcessMetrics adds the metrics of the Go runtime and the process.
-// Only one node of a process may do so meaningfully.
+// With several nodes in one process, only one of them should register them.
 func RegisterProcessMetrics(injector do.Injector) {
 	registerer := do.MustInvoke[prometheus.Registerer](injector)
 	registerer.MustRegister(
@@ -71,8 +71,8 @@
 	readiness *Readiness
 }
 
-// NewNode invokes the Service that the wiring has provided. All twirp services
-// have been registered when it returns.
+// NewNode builds the Service that the Wire function has provided. All twirp
+// services are registered when it returns.
 func NewNode(injector do.Injector) (*Node, error) {
 	service, err := do.Invoke[Service](injector)
 	if err != nil {
@@ -86,9 +86,9 @@
 	}, nil
 }
 
-// Run implements Service. The control port opens first, so that a port that is
-// taken ends the node before it announces itself, and closes last, so that
-// peers are answered until the role's work is done.
+// Run implements Service. The control port opens first, so that a port already
+// in use fails the node before it registers itself, and closes last, so that
+// peers get replies until the service has finished.
 func (n *Node) Run(ctx context.Context) error {
 	if err := n.server.Listen(); err != nil {
 		return err
--- a/internal/daemon/readiness.go
+++ b/internal/daemon/readiness.go
@@ -2,27 +2,27 @@
 
 import "sync"
 
-// reasonStarting is the reason of a node that has not said that it is ready.
-const reasonStarting = "starting"
+// startingReason is the reason reported before the first call of SetReady.
+const startingReason = "starting"
 
-// Readiness tells whether the node should get work. It is safe for concurrent
-// use.
+// Readiness holds whether the node should receive work. It is safe for
+// concurrent use.
 type Readiness struct {
 	mu       sync.Mutex
 	reason   string
 	draining bool
 }
 
-// NewReadiness returns the state of a node that starts.
-func NewReadiness() *Readiness { return &Readiness{reason: reasonStarting} }
+// NewReadiness returns the state of a node that is starting.
+func NewReadiness() *Readiness { return &Readiness{reason: startingReason} }
 
-// SetReady makes the node ready. A node that drains stays not ready.
+// SetReady marks the node ready, unless it is draining.
 func (r *Readiness) SetReady() { r.set("") }
 
-// SetNotReady makes the node not ready and keeps the reason for /readyz.
+// SetNotReady marks the node not ready, with the reason that /readyz reports.
 func (r *Readiness) SetNotReady(reason string) { r.set(reason) }
 
-// SetDraining makes the node not ready for good.
+// SetDraining marks the node not ready permanently.
 func (r *Readiness) SetDraining() {
 	r.set("draining")
 	r.mu.Lock()
@@ -38,7 +38,7 @@
 	}
 }
 
-// NotReady returns why the node isn't ready, or "" when it is.
+// NotReady returns the reason why the node isn't ready, or "" if it is.
 func (r *Readiness) NotReady() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -14,25 +14,25 @@
 	"github.com/bluebellchute/bluebellchute/internal/inifile"
 )
 
-// reloadInterval is the pause between two looks at the configuration file,
-// which may change without a signal.
+// reloadInterval is the interval at which the configuration file is checked for
+// changes, which may come without a signal.
 const reloadInterval = time.Second
 
-// Reloader reads a configuration file again on SIGHUP and when it changes.
+// Reloader reloads a configuration file on SIGHUP and when its content changes.
 type Reloader struct {
 	Path   string
 	Logger logrus.FieldLogger
-	// NewConfig returns an empty configuration for package inifile.
+	// NewConfig returns an empty configuration to parse the file into.
 	NewConfig func() any
-	// Apply takes a configuration without mistakes.
+	// Apply puts a valid configuration into force.
 	Apply func(config any)
 
-	pause   func() // between two reads, nil for settlePause; a test puts its own
-	content []byte // as applied last; empty at first, as the file may have changed since the start
+	waitForWriter  func() // called between two reads; nil sleeps for settleInterval
+	appliedContent []byte // empty until the first reload, since the file may have changed after startup
 }
 
-// Run reads the file again until the context ends. Without it, SIGHUP would
-// end the process and cut all its requests.
+// Run reloads the file until the context ends. It handles SIGHUP, which would
+// otherwise kill the process and abort all its requests.
 func (r *Reloader) Run(ctx context.Context) error {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
@@ -44,63 +44,65 @@
 		case <-ctx.Done():
 			return nil
 		case <-hangups:
-			r.read(true)
+			r.reload(true)
 		case <-ticker.C:
-			r.read(false)
+			r.reload(false)
 		}
 	}
 }
 
 const (
-	// settlePause is the pause between two reads of the file that must agree.
-	settlePause = 20 * time.Millisecond
-	// settleReads bounds them; a file that never settles is read as it is.
-	settleReads = 10
+	// settleInterval is the time between two reads of the file that must be equal.
+	settleInterval = 20 * time.Millisecond
+	// maxSettleReads bounds the reads; a file that keeps changing is then used as
+	// it is.
+	maxSettleReads = 10
 )
 
-// settled returns the content of the file once two reads agree. Whoever writes
-// it truncates it first: a file caught half written may be valid without the
-// keys that are still to come, and their defaults would be applied.
-func (r *Reloader) settled() ([]byte, error) {
+// readSettled returns the content of the file once two successive reads are
+// equal. A writer that truncates the file first leaves it incomplete for a short
+// time. An incomplete file may be valid, and the defaults of its missing keys
+// would be applied.
+func (r *Reloader) readSettled() ([]byte, error) {
 	content, err := os.ReadFile(r.Path)
-	for range settleReads {
+	for range maxSettleReads {
 		if err != nil {
 			return nil, err
 		}
-		r.awaitWriter()
-		before := content
+		r.pauseBetweenReads()
+		previous := content
 		content, err = os.ReadFile(r.Path)
-		if bytes.Equal(before, content) {
+		if bytes.Equal(previous, content) {
 			break
 		}
 	}
 	return content, err
 }
 
-func (r *Reloader) awaitWriter() {
-	if r.pause != nil {
-		r.pause()
+func (r *Reloader) pauseBetweenReads() {
+	if r.waitForWriter != nil {
+		r.waitForWriter()
 		return
 	}
-	time.Sleep(settlePause)
+	time.Sleep(settleInterval)
 }
 
-// read applies the file when it has changed, or when it was asked to.
-func (r *Reloader) read(asked bool) {
-	content, err := r.settled()
+// reload applies the file if it has changed or if requested is set.
+func (r *Reloader) reload(requested bool) {
+	content, err := r.readSettled()
 	if err != nil {
 		event.GateReloadFailed.Log(r.Logger, logrus.Fields{"error": err.Error()})
 		return
 	}
-	if !asked && bytes.Equal(content, r.content) {
+	if !requested && bytes.Equal(content, r.appliedContent) {
 		return
 	}
-	r.content = content
+	r.appliedContent = content
 	config := r.NewConfig()
 	if err := inifile.Parse(r.Path, content, config); err != nil {
 		event.GateReloadFailed.Log(r.Logger, logrus.Fields{"error": err.Error()})
 		return
 	}
 	r.Apply(config)
-	event.GateReloaded.Log(r.Logger, logrus.Fields{"asked": asked})
+	event.GateReloaded.Log(r.Logger, logrus.Fields{"asked": requested})
 }
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -16,10 +16,9 @@
 	Log LogSection `section:"log"`
 }
 
-// Symptom: all requests of a process are cut.
-// Events: the settings file changes and the process gets SIGHUP.
-// Cause: SIGHUP ends a process that does not handle it.
-func TestHangupReadsTheFileAgain(t *testing.T) {
+// Guards against SIGHUP killing the process and aborting all its requests: it
+// must reload the file instead. A changed file is reloaded without a signal too.
+func TestHangupReloadsFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "gate.ini")
 	write := func(text string) {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -52,7 +51,7 @@
 	}
 	write("[log]\nlevel = debug\n") // without a signal
 	expect("debug")
-	write("[log]\nlevel = loud\n") // a mistake: the former settings stay
+	write("[log]\nlevel = loud\n") // invalid: the previous settings stay in force
 	time.Sleep(2 * reloadInterval)
 	write("[log]\nlevel = error\n")
 	expect("error")
@@ -66,9 +65,9 @@
 	}
 }
 
-// Symptom: settings fall back to their defaults for a second.
-// Events: the settings file is written while the process reads it.
-// Cause: the file was caught between its truncation and its new content.
+// Guards against settings that fall back to their defaults for a second: the
+// file may be read after a writer has truncated it and before it has written the
+// new content.
 func TestHalfWrittenFileIsNotApplied(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "gate.ini")
 	if err := os.WriteFile(path, nil, 0o600); err != nil { // truncated
@@ -83,14 +82,14 @@
 		NewConfig: func() any { return new(reloadConfig) },
 		Apply:     func(config any) { applied = append(applied, config.(*reloadConfig).Log.Level) },
 	}
-	reloader.pause = func() { // the writer gets on between two reads
+	reloader.waitForWriter = func() { // the writer completes the file between two reads
 		if err := os.WriteFile(path, []byte("[log]\nlevel = error\n"), 0o600); err != nil {
 			t.Error(err)
 		}
 	}
-	reloader.read(true)
+	reloader.reload(true)
 	if len(applied) != 1 || applied[0] != "error" {
-		t.Errorf("applied %q, want the whole file alone", applied)
+		t.Errorf("applied %q, want only the complete file", applied)
 	}
 }
 
@@ -99,14 +98,13 @@
 
 func (blockedWriter) Write([]byte) (int, error) { select {} }
 
-// Symptom: requests stall.
-// Events: whoever reads the log stops reading.
-// Cause: writing a record waits for the reader.
+// Guards against requests that stall because nothing reads the log: writing a
+// record must not wait for the reader.
 func TestLogNeverBlocks(t *testing.T) {
 	writer := NewAsyncWriter(blockedWriter{})
 	done := make(chan struct{})
 	go func() {
-		for range 10 * asyncQueue {
+		for range 10 * asyncQueueSize {
 			writer.Write([]byte("record"))
 		}
 		close(done)
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -11,53 +11,52 @@
 	"github.com/bluebellchute/bluebellchute/internal/event"
 )
 
-// ErrInterrupted tells that an interrupt ended the process before its work in
-// progress was done.
+// ErrInterrupted is returned when an interrupt ends the process before its work
+// in progress is finished.
 var ErrInterrupted = errors.New("stopped at once by an interrupt")
 
-// Service is what a daemon does.
+// Service is the work of a daemon.
 type Service interface {
-	// Run works until the context ends. It returns nil when it ended because
-	// of the context.
+	// Run runs until the context ends, and then returns nil.
 	Run(ctx context.Context) error
-	// Drain takes no new work from now on, lets the work in progress end, and
-	// returns when none is left or the context ends. Run goes on meanwhile.
+	// Drain stops accepting new work and returns when the work in progress has
+	// finished or the context ends. Run continues meanwhile.
 	Drain(ctx context.Context) error
 }
 
-// Run runs the service until it fails or a signal comes. The first signal
-// drains the service and stops it. A SIGINT after that ends it at once; a
-// SIGTERM does not: a supervisor may repeat it, and requests in progress must
-// not be cut before the time that it grants is over.
+// Run runs the service until it fails or a signal arrives. The first signal
+// drains the service and stops it. A later SIGINT stops it immediately. A later
+// SIGTERM is ignored: a supervisor may repeat it, and requests in progress must
+// not be aborted before the supervisor's grace period is over.
 func Run(ctx context.Context, service Service, signals <-chan os.Signal, logger logrus.FieldLogger) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	ended := make(chan error, 1)
-	go func() { ended <- service.Run(ctx) }()
+	runResult := make(chan error, 1)
+	go func() { runResult <- service.Run(ctx) }()
 	select {
-	case err := <-ended:
+	case err := <-runResult:
 		return err
 	case <-ctx.Done():
-		return <-ended
+		return <-runResult
 	case received := <-signals:
 		event.Draining.Log(logger, logrus.Fields{"signal": received.String()})
 	}
-	interrupts := interruptsOf(ctx, signals)
-	if err := drain(ctx, service, interrupts, ended, logger); err != nil {
+	interrupts := forwardInterrupts(ctx, signals)
+	if err := drain(ctx, service, interrupts, runResult, logger); err != nil {
 		return err
 	}
 	cancel()
 	select {
-	case err := <-ended:
+	case err := <-runResult:
 		return err
 	case <-interrupts:
-		return forced(logger)
+		return logInterrupted(logger)
 	}
 }
 
-// interruptsOf passes on the interrupts among the signals until the context
-// ends.
-func interruptsOf(ctx context.Context, signals <-chan os.Signal) <-chan os.Signal {
+// forwardInterrupts returns a channel that receives the first SIGINT among the
+// signals. Other signals are discarded until then or until the context ends.
+func forwardInterrupts(ctx context.Context, signals <-chan os.Signal) <-chan os.Signal {
 	interrupts := make(chan os.Signal, 1)
 	go func() {
 		for {
@@ -75,8 +74,9 @@
 	return interrupts
 }
 
-// drain waits until the service has drained or has failed, or an interrupt comes.
-func drain(ctx context.Context, service Service, interrupts <-chan os.Signal, ended chan error, logger logrus.FieldLogger) error {
+// drain drains the service. It returns when the service has drained or has
+// returned from Run, or on an interrupt.
+func drain(ctx context.Context, service Service, interrupts <-chan os.Signal, runResult chan error, logger logrus.FieldLogger) error {
 	drained := make(chan error, 1)
 	go func() { drained <- service.Drain(ctx) }()
 	select {
@@ -85,15 +85,15 @@
 			event.DrainFailed.Log(logger, logrus.Fields{"error": err.Error()})
 		}
 		return err
-	case err := <-ended:
-		// A service that has ended can't finish its work any more.
+	case err := <-runResult:
+		// Once Run has returned, the work in progress can't finish.
 		return errors.Wrap(err, "ended while draining")
 	case <-interrupts:
-		return forced(logger)
+		return logInterrupted(logger)
 	}
 }
 
-func forced(logger logrus.FieldLogger) error {
+func logInterrupted(logger logrus.FieldLogger) error {
 	event.StopForced.Log(logger, nil)
 	return ErrInterrupted
 }
--- a/internal/daemon/serve.go
+++ b/internal/daemon/serve.go
@@ -11,11 +11,12 @@
 	"github.com/bluebellchute/bluebellchute/internal/fleet"
 )
 
-// headerTimeout bounds the wait for the header of a call to Serve.
+// headerTimeout is the maximum time to read a request's header.
 const headerTimeout = time.Second
 
-// Serve serves short calls at the address until the context ends, and cuts those
-// in progress then: their callers ask again. Its errors carry the step.
+// Serve serves short requests at the address until the context ends. It then
+// closes all connections without waiting for requests in progress, since their
+// clients retry. Its errors carry the step.
 func Serve(ctx context.Context, address fleet.Address, step fleet.Step, handler http.Handler) error {
 	listener, err := net.Listen("tcp", string(address))
 	if err != nil {
--- a/internal/daemon/version.go
+++ b/internal/daemon/version.go
@@ -2,10 +2,10 @@
 
 import "runtime/debug"
 
-// release is the version that the sources belong to.
+// release is the version of the source code.
 const release = "0.1.0"
 
-// Version returns the release and, when the build knows it, the commit.
+// Version returns the release and, if the build recorded it, the commit.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
