--- a/internal/settings/audit.go
+++ b/internal/settings/audit.go
@@ -10,24 +10,25 @@
 	"github.com/bluebellchute/bluebellchute/internal/platform"
 )
 
-// auditBlock is an audit object: edits in the order of their revisions and the
-// key of the block before. The chain of blocks has no bound and no hole.
+// auditBlock is the content of an audit object: consecutive edits in the order
+// of their revisions, and the key of the previous block. The blocks form a
+// linked list of unlimited length without gaps.
 type auditBlock struct {
 	Previous string   `json:"previous,omitempty"`
 	Records  []Record `json:"records"`
 }
 
-func (b *auditBlock) first() uint64 { return b.Records[0].Revision }
-func (b *auditBlock) last() uint64  { return b.Records[len(b.Records)-1].Revision }
+func (b *auditBlock) firstRevision() uint64 { return b.Records[0].Revision }
+func (b *auditBlock) lastRevision() uint64  { return b.Records[len(b.Records)-1].Revision }
 
-// auditKey names the block that begins with a revision.
+// auditKey returns the key of the block that begins with a revision.
 func auditKey(first uint64) string { return fmt.Sprintf("%s%020d", AuditPrefix, first) }
 
 // moveToAudit writes the oldest edits of the base to an audit object when the
 // head has grown large, and returns the head without them. It runs before the
-// head's update: a failure in between leaves an edit in both places, never in
-// none. Another editor may have written the block already; it holds accepted
-// edits only, so it is taken as it is, whatever its length.
+// update of the head, so a failure in between leaves an edit in both places and
+// never loses it. Another editor may have written the block already; a block
+// contains accepted edits only, so the existing one is used whatever its length.
 func (r *Reader) moveToAudit(ctx context.Context, base Snapshot) (Head, error) {
 	head := *base.Head
 	count, err := r.limits.overflow(head.Recent)
@@ -50,28 +51,28 @@
 			return head, err
 		}
 	}
-	if block.first() != head.AuditedRevision+1 {
-		return head, errors.Errorf("%s: begins with revision %d", key, block.first())
+	if block.firstRevision() != head.AuditedRevision+1 {
+		return head, errors.Errorf("%s: audit object begins with revision %d", key, block.firstRevision())
 	}
-	if block.last() > head.Revision {
+	if block.lastRevision() > head.Revision {
 		return head, errStale
 	}
-	head.Recent = head.Recent[block.last()-head.AuditedRevision:]
-	head.AuditedRevision = block.last()
+	head.Recent = head.Recent[block.lastRevision()-head.AuditedRevision:]
+	head.AuditedRevision = block.lastRevision()
 	head.LastAuditKey = key
 	return head, nil
 }
 
-// overflow tells how many of the oldest edits have to leave the head.
+// overflow returns how many of the oldest edits to move out of the head.
 func (l limits) overflow(recent []Record) (int, error) {
 	sizes := make([]int, len(recent))
 	total := 0
-	for place, record := range recent {
+	for i, record := range recent {
 		data, err := encode(record)
 		if err != nil {
 			return 0, err
 		}
-		sizes[place] = len(data)
+		sizes[i] = len(data)
 		total += len(data)
 	}
 	if len(recent) < l.maxRecent && total <= l.maxRecentBytes {
@@ -98,23 +99,23 @@
 		return nil, errors.WithMessage(err, key)
 	}
 	if len(block.Records) == 0 {
-		return nil, errors.Errorf("%s: the audit object is empty", key)
+		return nil, errors.Errorf("%s: audit object is empty", key)
 	}
 	return block, nil
 }
 
-// History visits the accepted edits, the newest first, until visit returns
-// false or there are no older ones. An audit object that cannot be read is an
-// error, never a gap.
-func (r *Reader) History(ctx context.Context, atLeast platform.Version, visit func(Record) bool) error {
-	head, _, err := r.ReadHead(ctx, atLeast)
+// History calls visit for the accepted edits, newest first, until visit returns
+// false or the first edit has been visited. If an audit object cannot be read,
+// it returns an error instead of skipping edits.
+func (r *Reader) History(ctx context.Context, minVersion platform.Version, visit func(Record) bool) error {
+	head, _, err := r.ReadHead(ctx, minVersion)
 	if err != nil {
 		return err
 	}
-	return r.visitBack(ctx, head, visit)
+	return r.visitNewestFirst(ctx, head, visit)
 }
 
-func (r *Reader) visitBack(ctx context.Context, head *Head, visit func(Record) bool) error {
+func (r *Reader) visitNewestFirst(ctx context.Context, head *Head, visit func(Record) bool) error {
 	records, previous := head.Recent, head.LastAuditKey
 	for {
 		for _, record := range slices.Backward(records) {
@@ -133,13 +134,13 @@
 	}
 }
 
-// after returns the edits that follow a revision, the oldest first.
-func (r *Reader) after(ctx context.Context, head *Head, revision uint64) ([]Record, error) {
-	if records, ok := head.since(revision); ok {
+// editsAfter returns the edits after a revision, oldest first.
+func (r *Reader) editsAfter(ctx context.Context, head *Head, revision uint64) ([]Record, error) {
+	if records, ok := head.editsSince(revision); ok {
 		return records, nil
 	}
 	var records []Record
-	err := r.visitBack(ctx, head, func(record Record) bool {
+	err := r.visitNewestFirst(ctx, head, func(record Record) bool {
 		if record.Revision > revision {
 			records = append(records, record)
 		}
@@ -149,28 +150,28 @@
 	return records, err
 }
 
-// OutcomeOf tells what became of an edit whose outcome was unknown. An edit can
-// only be accepted as the revision that Result names, so the edit that has this
-// revision decides; until there is one, the outcome stays unknown. A read that
-// is out of date may leave it unknown but never makes it wrong.
+// OutcomeOf returns the outcome of an edit that Submit reported as unknown. An
+// edit can only be accepted under the revision in its Result, so the edit that
+// has this revision determines the outcome; until one does, the outcome stays
+// unknown. A stale read may leave the outcome unknown but never makes it wrong.
 func (r *Reader) OutcomeOf(ctx context.Context, id EditID, revision uint64) (Outcome, Record, error) {
 	head, _, err := r.ReadHead(ctx, 0)
 	if err != nil {
 		return OutcomeUnknown, Record{}, err
 	}
-	return r.outcomeIn(ctx, head, id, revision)
+	return r.outcomeAt(ctx, head, id, revision)
 }
 
-func (r *Reader) outcomeIn(ctx context.Context, head *Head, id EditID, revision uint64) (Outcome, Record, error) {
+func (r *Reader) outcomeAt(ctx context.Context, head *Head, id EditID, revision uint64) (Outcome, Record, error) {
 	if revision == 0 || head.Revision < revision {
 		return OutcomeUnknown, Record{}, nil
 	}
-	followers, err := r.after(ctx, head, revision-1)
+	edits, err := r.editsAfter(ctx, head, revision-1)
 	if err != nil {
 		return OutcomeUnknown, Record{}, err
 	}
-	if followers[0].ID == id {
-		return OutcomeAccepted, followers[0], nil
+	if edits[0].ID == id {
+		return OutcomeAccepted, edits[0], nil
 	}
 	return OutcomeNotAccepted, Record{}, nil
 }
--- a/internal/settings/seen_test.go
+++ b/internal/settings/base_revision_test.go
@@ -2,13 +2,11 @@
 
 import "testing"
 
-// TestRevisionThatTheOperatorHasSeen
-//
-// Symptom: an import or a key rotation undoes an edit that its operator never
-// saw. Sequence of events: the tree is read, another edit is accepted, the
-// changes that were worked out from the old tree are submitted. Cause: only the
-// time of the submission is looked at, not the revision that was seen.
-func TestRevisionThatTheOperatorHasSeen(t *testing.T) {
+// TestSubmitChecksRevisionSeenByOperator guards against an import or a key rotation
+// that undoes an edit which its operator never saw. That happens if another edit is
+// accepted after the tree was read, and Submit only looks for conflicts since its
+// own start instead of since the revision that the changes were computed from.
+func TestSubmitChecksRevisionSeenByOperator(t *testing.T) {
 	otherKey := Change{Op: OpSet, Path: "acme", Key: "weight", After: "3"}
 	sameKey := Change{Op: OpSet, Path: setWeight.Path, Key: setWeight.Key, After: "4"}
 	removed := Change{Op: OpMove, Path: "acme/labs", To: "umbra/labs"}
@@ -28,13 +26,13 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := newMatrixCell(t)
-			c.other(test.other)
+			c.submitOther(test.other)
 			edit := Edit{Changes: []Change{setWeight}, BaseRevision: test.base, ExpectedRevision: test.expect}
-			result := newTestEditor(c.shared.store).Submit(t.Context(), edit)
+			result := newTestEditor(c.platform.store).Submit(t.Context(), edit)
 			if result.Outcome != test.want {
 				t.Fatalf("outcome %s, want %s: %v", result.Outcome, test.want, result.Err)
 			}
-			requireTruth(t, c.shared, []Result{result})
+			requireConsistentResults(t, c.platform, []Result{result})
 		})
 	}
 }
--- a/internal/settings/bench_test.go
+++ b/internal/settings/bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/bluebellchute/bluebellchute/internal/platform"
 )
 
-// fleetTree returns a tree of so many client accounts in teams of ten and
-// organisations of ten teams, an API key each, and 30 services.
+// fleetTree returns a tree with the given number of client accounts, one API key
+// each, in teams of ten and organisations of ten teams, and with 30 services.
 func fleetTree(b *testing.B, accounts int) *Tree {
 	b.Helper()
 	const perTeam, teams, services = 10, 10, 30
@@ -33,26 +33,26 @@
 	return tree
 }
 
-// BenchmarkReplica measures what the settings cost a node. go test reports the
-// time; heap-B is what the replica keeps, whole-B the delta of a whole tree,
-// edit-B the delta of an edit of one value, head-B the platform's head object
-// after many such edits, and written-B all objects that one of them writes.
+// BenchmarkReplica measures the cost of the settings at a node. Besides the time it
+// reports heap-B, the memory that a replica retains; whole-B, the size of the delta
+// of a complete tree; edit-B, the delta of an edit of one value; head-B, the head
+// object after many such edits; and written-B, all objects that one of them writes.
 func BenchmarkReplica(b *testing.B) {
 	for _, accounts := range []int{100, 400, 1700} {
 		b.Run(fmt.Sprintf("accounts=%d", accounts), func(b *testing.B) {
 			tree := fleetTree(b, accounts).WithRevision(1)
 			b.Run("size", func(b *testing.B) { benchmarkSize(b, tree) })
-			b.Run("whole", func(b *testing.B) { benchmarkWhole(b, tree) })
+			b.Run("whole", func(b *testing.B) { benchmarkFullTree(b, tree) })
 			b.Run("edit-account", func(b *testing.B) { benchmarkEdit(b, tree, "org-0/team-0/account-0") })
 			b.Run("edit-root", func(b *testing.B) { benchmarkEdit(b, tree, Root) })
-			b.Run("find-key", func(b *testing.B) { benchmarkFind(b, tree) })
+			b.Run("find-key", func(b *testing.B) { benchmarkFindKey(b, tree) })
 		})
 	}
 }
 
-func benchmarkWhole(b *testing.B, tree *Tree) {
+func benchmarkFullTree(b *testing.B, tree *Tree) {
 	source := NewReplica()
-	source.takeTree(tree)
+	source.installTree(tree)
 	for b.Loop() {
 		if rose, err := NewReplica().Apply(source.Delta(0)); !rose || err != nil {
 			b.Fatal(rose, err)
@@ -62,19 +62,19 @@
 
 func benchmarkEdit(b *testing.B, tree *Tree, path Path) {
 	node := NewReplica()
-	node.takeTree(tree)
+	node.installTree(tree)
 	for revision := uint64(2); b.Loop(); revision++ {
 		change := Change{Op: OpSet, Path: path, Key: KeyWeight, After: fmt.Sprint(1 + revision%7)}
 		edit := []editDelta{{Revision: revision, Changes: []Change{change}}}
-		if rose, err := node.takeEdits(edit); !rose || err != nil {
+		if rose, err := node.applyEdits(edit); !rose || err != nil {
 			b.Fatal(rose, err)
 		}
 	}
 }
 
-// benchmarkFind looks for a key that exists, for one that differs in the last
-// byte only, and for one that differs in the first: the times are to be equal.
-func benchmarkFind(b *testing.B, tree *Tree) {
+// benchmarkFindKey looks up a key that exists, one that differs only in the last
+// byte and one that differs in the first byte. All three must take the same time.
+func benchmarkFindKey(b *testing.B, tree *Tree) {
 	view := NewView(tree)
 	present := KeyHash(sha256.Sum256([]byte("org-0/team-0/account-0")))
 	lastByte, firstByte := present, present
@@ -93,24 +93,24 @@
 
 func benchmarkSize(b *testing.B, tree *Tree) {
 	source := NewReplica()
-	source.takeTree(tree)
-	whole := source.Delta(0)
-	before := heap()
+	source.installTree(tree)
+	fullDelta := source.Delta(0)
+	before := heapBytes()
 	node := NewReplica()
 	for b.Loop() {
-		if _, err := node.Apply(whole); err != nil {
+		if _, err := node.Apply(fullDelta); err != nil {
 			b.Fatal(err)
 		}
 	}
-	kept := heap() - before
+	retained := heapBytes() - before
 	runtime.KeepAlive(node)
 
 	edit := Change{Op: OpSet, Path: "org-0/team-0/account-0", Key: KeyWeight, After: "9"}
-	if _, err := source.takeEdits([]editDelta{{Revision: 2, Changes: []Change{edit}}}); err != nil {
+	if _, err := source.applyEdits([]editDelta{{Revision: 2, Changes: []Change{edit}}}); err != nil {
 		b.Fatal(err)
 	}
 	store := platform.NewStore(platform.StoreOptions{WritesPerSecond: 1 << 20, ReadsPerSecond: 1 << 20})
-	editor := NewEditor(store, quickRetry())
+	editor := NewEditor(store, noWaitRetry())
 	submit := func(changes []Change) {
 		if result := editor.Submit(b.Context(), Edit{Operator: "anna", Reason: "a typical reason", Changes: changes}); result.Outcome != OutcomeAccepted {
 			b.Fatalf("%+v", result)
@@ -122,16 +122,16 @@
 		edit.After = fmt.Sprint(10 + number)
 		submit([]Change{edit})
 	}
-	head, written := sizes(b, store)
+	head, written := objectSizes(b, store)
 	for name, value := range map[string]float64{
-		"heap-B": float64(kept), "whole-B": float64(len(whole)), "edit-B": float64(len(source.Delta(1))),
+		"heap-B": float64(retained), "whole-B": float64(len(fullDelta)), "edit-B": float64(len(source.Delta(1))),
 		"head-B": head, "written-B": written, "accounts": float64(len(node.View().(*resolvedView).accounts)), "ns/op": 0,
 	} {
 		b.ReportMetric(value, name)
 	}
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var stats runtime.MemStats
@@ -139,12 +139,13 @@
 	return stats.HeapAlloc
 }
 
-// lastRevision is so high that the first edit, which holds the whole tree, has
-// moved to an audit object.
+// lastRevision is high enough that the first edit, which contains the complete
+// tree, has moved to an audit object.
 const lastRevision = 80
 
-// sizes returns the bytes of the head and of all that the last edit wrote.
-func sizes(b *testing.B, store *platform.Store) (head, written float64) {
+// objectSizes returns the size of the head and of all objects that the last edit
+// wrote.
+func objectSizes(b *testing.B, store *platform.Store) (head, written float64) {
 	objects, _, err := store.List(b.Context(), "settings/")
 	if err != nil {
 		b.Fatal(err)
--- a/internal/settings/bootstrap.go
+++ b/internal/settings/bootstrap.go
@@ -6,8 +6,8 @@
 	"github.com/bluebellchute/bluebellchute/internal/platform"
 )
 
-// Bootstrap writes the tree of a text form as the first revision to a platform
-// that holds no settings yet. When it holds some, the result is a conflict.
+// Bootstrap parses a tree in INI form and writes it as the first revision to a
+// platform that has no settings yet. If it has some, the outcome is a conflict.
 func Bootstrap(ctx context.Context, api platform.API, text []byte, operator string) Result {
 	tree, err := ParseINI(text)
 	if err != nil {
--- a/internal/settings/calls.go
+++ b/internal/settings/calls.go
@@ -10,31 +10,31 @@
 	"github.com/bluebellchute/bluebellchute/internal/platform"
 )
 
-// RetryPolicy says how calls to the platform are repeated.
+// RetryPolicy controls how calls to the platform are retried.
 type RetryPolicy struct {
-	MaxAttempts int                                          // of one call, or of one edit in conflicts
-	CallTimeout time.Duration                                // of one attempt
-	Backoff     func(ctx context.Context, attempt int) error // waits before a repeat
+	MaxAttempts int                                          // of a call, or of an edit that loses to concurrent edits
+	CallTimeout time.Duration                                // timeout of each attempt
+	Backoff     func(ctx context.Context, attempt int) error // waits before a retry
 }
 
-// Default limits of Retry.
+// Values of DefaultRetryPolicy.
 const (
 	defaultAttempts    = 12
 	defaultCallTimeout = 2 * time.Second
-	firstPause         = 20 * time.Millisecond
-	longestPause       = time.Second
+	initialBackoff     = 20 * time.Millisecond
+	maxBackoff         = time.Second
 )
 
-// DefaultRetryPolicy repeats for some seconds with growing pauses.
+// DefaultRetryPolicy retries for several seconds with exponential backoff.
 func DefaultRetryPolicy() RetryPolicy {
-	return RetryPolicy{MaxAttempts: defaultAttempts, CallTimeout: defaultCallTimeout, Backoff: pause}
+	return RetryPolicy{MaxAttempts: defaultAttempts, CallTimeout: defaultCallTimeout, Backoff: backoff}
 }
 
-// pause waits a random part of a time that doubles. Without the random part,
-// operators who were in conflict once would meet again at each repeat.
-func pause(ctx context.Context, attempt int) error {
-	longest := min(firstPause<<min(attempt, 10), longestPause)
-	timer := time.NewTimer(longest/2 + rand.N(longest/2))
+// backoff waits with exponential backoff and jitter. Without jitter, operators
+// whose edits conflicted once would conflict again at every retry.
+func backoff(ctx context.Context, attempt int) error {
+	delay := min(initialBackoff<<min(attempt, 10), maxBackoff)
+	timer := time.NewTimer(delay/2 + rand.N(delay/2))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -44,54 +44,54 @@
 	}
 }
 
-// noEffect reports whether a failed write certainly had no effect. Any other
-// error, a timeout among them, leaves that open.
-func noEffect(err error) bool {
+// hadNoEffect reports whether a failed write certainly had no effect. After any
+// other error, such as a timeout, the write may have taken effect.
+func hadNoEffect(err error) bool {
 	return errors.Is(err, platform.ErrConflict) ||
 		errors.Is(err, platform.ErrUnavailable) ||
 		errors.Is(err, platform.ErrRateLimited) ||
 		errors.Is(err, platform.ErrNotFound)
 }
 
-// calls repeats calls to the platform.
-type calls struct {
+// retryingClient calls the platform API with retries.
+type retryingClient struct {
 	api   platform.API
 	retry RetryPolicy
 }
 
-// repeat runs attempt until it succeeds, reports a final error, the attempts
-// are used up or the context ends.
-func (c calls) repeat(ctx context.Context, attempt func() (final bool, err error)) error {
-	var last error
+// retryLoop calls attempt until it succeeds or returns a final error, the
+// attempts are used up or the context is done.
+func (c retryingClient) retryLoop(ctx context.Context, attempt func() (final bool, err error)) error {
+	var lastErr error
 	for count := range c.retry.MaxAttempts {
 		if count > 0 && c.retry.Backoff(ctx, count) != nil {
-			return last
+			return lastErr
 		}
 		final, err := attempt()
 		if err == nil || final {
 			return err
 		}
-		last = err
+		lastErr = err
 	}
-	return last
+	return lastErr
 }
 
-// repeatCall is repeat for one call to the platform, with a time limit for each
-// attempt: a platform that is slow must not use up the operator's patience with
-// a single call.
-func (c calls) repeatCall(ctx context.Context, call func(ctx context.Context) (final bool, err error)) error {
-	return c.repeat(ctx, func() (bool, error) {
+// retryCall is retryLoop for one call to the platform, with a timeout for each
+// attempt, so that a slow platform cannot use up the operator's time with a
+// single attempt.
+func (c retryingClient) retryCall(ctx context.Context, call func(ctx context.Context) (final bool, err error)) error {
+	return c.retryLoop(ctx, func() (bool, error) {
 		callCtx, cancel := context.WithTimeout(ctx, c.retry.CallTimeout)
 		defer cancel()
 		return call(callCtx)
 	})
 }
 
-// get reads an object that must exist. ErrNotFound is not final: a read may
-// give the state from before the object was written.
-func (c calls) get(ctx context.Context, key string) (platform.Object, error) {
+// get reads an object that must exist. It retries after ErrNotFound: a stale
+// read may return the state from before the object was written.
+func (c retryingClient) get(ctx context.Context, key string) (platform.Object, error) {
 	var found platform.Object
-	err := c.repeatCall(ctx, func(ctx context.Context) (bool, error) {
+	err := c.retryCall(ctx, func(ctx context.Context) (bool, error) {
 		object, err := c.api.Get(ctx, key)
 		found = object
 		return false, err
@@ -99,10 +99,10 @@
 	return found, errors.WithMessage(err, key)
 }
 
-// create writes an object that never changes. It reports whether an object was
-// there already, which may be the one that an attempt without a reply wrote.
-func (c calls) create(ctx context.Context, key string, data []byte) (existed bool, err error) {
-	err = c.repeatCall(ctx, func(ctx context.Context) (bool, error) {
+// create writes an immutable object. It reports whether the object existed
+// already; an earlier attempt whose reply was lost may have written it.
+func (c retryingClient) create(ctx context.Context, key string, data []byte) (existed bool, err error) {
+	err = c.retryCall(ctx, func(ctx context.Context) (bool, error) {
 		_, err := c.api.Put(ctx, key, data, 0)
 		existed = errors.Is(err, platform.ErrConflict)
 		return existed, err
--- a/internal/settings/change.go
+++ b/internal/settings/change.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Operation is what a change does to the tree.
+// Operation is the kind of a change.
 type Operation string
 
 // The operations.
@@ -13,8 +13,8 @@
 	OpSet    Operation = "set"    // set Key of Path to After
 	OpUnset  Operation = "unset"  // remove the node's own value of Key
 	OpCreate Operation = "create" // create Path, with Settings and missing parents
-	OpRemove Operation = "remove" // remove Path, which has no nodes below it
-	OpMove   Operation = "move"   // move Path and all below it to To
+	OpRemove Operation = "remove" // remove Path, which must have no children
+	OpMove   Operation = "move"   // move the subtree at Path to To
 )
 
 // Change is one step of an edit.
@@ -22,22 +22,22 @@
 	Op       Operation `json:"op"`
 	Path     Path      `json:"path"`
 	Key      KeyName   `json:"key,omitempty"`
-	Before   string    `json:"before,omitempty"` // filled in by Apply; empty when the key was not set
+	Before   string    `json:"before,omitempty"` // set by Apply; empty if the key had no value
 	After    string    `json:"after,omitempty"`
 	To       Path      `json:"to,omitempty"`
-	Settings []Setting `json:"settings,omitempty"` // of a created node; filled in by Apply for a removed one
+	Settings []Setting `json:"settings,omitempty"` // of a created node; set by Apply for a removed one
 }
 
-// Overlaps reports whether two changes touch the same key of the same node, or
-// whether one changes the shape of the tree where the other one works. Such
-// changes are not merged: the later operator has to see the earlier change.
+// Overlaps reports whether two changes concern the same key of the same node, or
+// whether one changes the structure of the tree at or above a node of the other.
+// Such changes are not merged: the later operator has to see the earlier change.
 func (c Change) Overlaps(other Change) bool {
-	if !c.reshapes() && !other.reshapes() {
+	if !c.changesStructure() && !other.changesStructure() {
 		return c.Path == other.Path && c.Key == other.Key
 	}
-	for _, mine := range c.places() {
-		for _, theirs := range other.places() {
-			if mine.Contains(theirs) && c.reshapes() || theirs.Contains(mine) && other.reshapes() {
+	for _, path := range c.affectedPaths() {
+		for _, otherPath := range other.affectedPaths() {
+			if path.Contains(otherPath) && c.changesStructure() || otherPath.Contains(path) && other.changesStructure() {
 				return true
 			}
 		}
@@ -45,22 +45,22 @@
 	return false
 }
 
-func (c Change) reshapes() bool { return c.Op != OpSet && c.Op != OpUnset }
+func (c Change) changesStructure() bool { return c.Op != OpSet && c.Op != OpUnset }
 
-func (c Change) places() []Path {
+func (c Change) affectedPaths() []Path {
 	if c.Op == OpMove {
 		return []Path{c.Path, c.To}
 	}
 	return []Path{c.Path}
 }
 
-// Apply returns the tree after the changes, under the same revision, and the
-// changes with the values from before filled in. A change that changes nothing
-// is left out. The error lists all changes that don't fit the tree; whether the
-// values are allowed is told by Validate.
+// Apply returns the tree after the changes, with the same revision, and the
+// changes with their previous values filled in. A change without effect is left
+// out. The error lists all changes that cannot be applied to the tree; Apply
+// doesn't check the values, Validate does.
 func (t *Tree) Apply(changes []Change) (*Tree, []Change, error) {
 	next := &Tree{revision: t.revision, nodes: maps.Clone(t.nodes)}
-	var done []Change
+	var effective []Change
 	var mistakes []Mistake
 	for _, change := range changes {
 		applied, changed, mistake := next.applyOne(change)
@@ -68,16 +68,16 @@
 		case mistake != nil:
 			mistakes = append(mistakes, *mistake)
 		case changed:
-			done = append(done, applied)
+			effective = append(effective, applied)
 		}
 	}
 	if err := asError(mistakes); err != nil {
 		return nil, nil, err
 	}
-	return next, done, nil
+	return next, effective, nil
 }
 
-// applyOne changes t itself, which nobody else sees yet.
+// applyOne modifies t in place. Apply calls it on its own copy of the tree.
 func (t *Tree) applyOne(change Change) (Change, bool, *Mistake) {
 	if !change.Path.Valid() {
 		return change, false, &Mistake{Path: change.Path, Problem: "not a path", Allowed: segmentRule}
@@ -101,7 +101,7 @@
 func (t *Tree) set(change Change) (Change, bool, *Mistake) {
 	found, ok := t.nodes[change.Path]
 	if !ok {
-		return change, false, missing(change)
+		return change, false, missingNode(change)
 	}
 	before, had := found.get(change.Key)
 	change.Before = before
@@ -115,7 +115,7 @@
 func (t *Tree) unset(change Change) (Change, bool, *Mistake) {
 	found, ok := t.nodes[change.Path]
 	if !ok {
-		return change, false, missing(change)
+		return change, false, missingNode(change)
 	}
 	before, had := found.get(change.Key)
 	change.Before = before
@@ -137,7 +137,7 @@
 	return change, true, nil
 }
 
-// ensureParents creates the missing nodes above a path, so that every node can
+// ensureParents creates the missing ancestors of a path, so that every node can
 // be listed and edited.
 func (t *Tree) ensureParents(path Path) {
 	for parent := path.Parent(); !t.Has(parent); parent = parent.Parent() {
@@ -147,7 +147,7 @@
 
 func (t *Tree) remove(change Change) (Change, bool, *Mistake) {
 	if !t.Has(change.Path) {
-		return change, false, missing(change)
+		return change, false, missingNode(change)
 	}
 	if change.Path == Root || change.Path == ServicesPath {
 		return change, false, &Mistake{Path: change.Path, Problem: "the node cannot be removed"}
@@ -163,7 +163,7 @@
 func (t *Tree) move(change Change) (Change, bool, *Mistake) {
 	switch {
 	case !t.Has(change.Path):
-		return change, false, missing(change)
+		return change, false, missingNode(change)
 	case !change.To.Valid():
 		return change, false, &Mistake{Path: change.To, Problem: "not a path", Allowed: segmentRule}
 	case change.Path == Root || change.Path == ServicesPath:
@@ -181,11 +181,11 @@
 	return change, true, nil
 }
 
-func missing(change Change) *Mistake {
+func missingNode(change Change) *Mistake {
 	return &Mistake{Path: change.Path, Key: change.Key, Value: change.After, Problem: "there is no such node"}
 }
 
-// Diff returns the changes that lead from one tree to another.
+// Diff returns the changes that turn one tree into another.
 func Diff(from, to *Tree) []Change {
 	var changes []Change
 	removed := slices.Clone(from.Paths())
--- a/internal/settings/collect.go
+++ b/internal/settings/collect.go
@@ -6,10 +6,10 @@
 	"github.com/pkg/errors"
 )
 
-// discard removes the chunks of a proposal that lost its race. What remains
-// after a failure is found by collect.
-func (s *submission) discard(ctx context.Context, lost *proposal) {
-	for _, object := range lost.written {
+// discardChunks deletes the chunks of a proposal that wasn't accepted. Chunks
+// that it fails to delete are left to CollectGarbage.
+func (s *submission) discardChunks(ctx context.Context, rejected *proposal) {
+	for _, object := range rejected.chunks {
 		found, err := s.reader.api.Get(ctx, object.key)
 		if err != nil {
 			continue
@@ -18,24 +18,24 @@
 	}
 }
 
-// collect removes unreferenced chunks now and then, after an accepted edit.
-func (s *submission) collect(ctx context.Context, accepted *proposal) {
-	if accepted.record.Revision%s.reader.limits.collectEvery != 0 {
+// collectGarbage runs CollectGarbage after every collectInterval-th accepted edit.
+func (s *submission) collectGarbage(ctx context.Context, accepted *proposal) {
+	if accepted.record.Revision%s.reader.limits.collectInterval != 0 {
 		return
 	}
 	var head Head
 	if decode(accepted.head, &head) != nil {
 		return
 	}
-	// A failure costs space only; the next search finds the same chunks.
+	// A failure only costs storage; the next run finds the same chunks.
 	_, _ = s.reader.CollectGarbage(ctx, &head)
 }
 
-// CollectGarbage removes chunk objects that no head refers to nor ever will, and
-// returns how many. Removing one too many would lose a part of the tree: a
-// chunk is made for one revision, and only the head of that revision can take
-// it up. So a chunk of a revision that head has passed, and that head does not
-// refer to, is out of use for good, also when head itself is out of date.
+// CollectGarbage deletes chunk objects that no present or future head refers to,
+// and returns how many. Deleting a referenced chunk would lose a part of the
+// tree. A chunk is written for one revision, and only the head of that revision
+// can be the first to refer to it. So a chunk of a revision up to that of head
+// that head doesn't refer to will never be used again, even if head is stale.
 func (r *Reader) CollectGarbage(ctx context.Context, head *Head) (int, error) {
 	objects, _, err := r.api.List(ctx, ChunkPrefix)
 	if err != nil {
@@ -48,7 +48,7 @@
 	removed := 0
 	for _, object := range objects {
 		revision, err := chunkRevision(object.Key)
-		if err != nil || used[object.Key] || revision+r.limits.keepChunks > head.Revision {
+		if err != nil || used[object.Key] || revision+r.limits.chunkRetention > head.Revision {
 			continue
 		}
 		if err := r.api.Delete(ctx, object.Key, object.Version); err != nil {
--- a/internal/settings/commit.go
+++ b/internal/settings/commit.go
@@ -9,17 +9,18 @@
 	"github.com/bluebellchute/bluebellchute/internal/platform"
 )
 
-// commit updates the head under the condition that it still is the base. It
-// reports false when the edit lost the race and certainly has had no effect.
+// commit replaces the head on the condition that it is still that of base. It
+// returns false when another edit came first and this one certainly had no
+// effect.
 //
-// What goes wrong here: the reply is lost after the update took effect, and the
-// operator is told that the edit failed while the fleet follows it. So after a
-// lost reply the same update is sent again. Its condition lets at most one of
-// the two take effect, and the second one's reply settles the first: success,
-// or a conflict after which the history tells whose edit has the revision.
+// If the reply to an update that took effect is lost, the operator must not be
+// told that the edit failed. So after a lost reply commit sends the same update
+// again. Its condition lets at most one of the two take effect, and the reply to
+// the second resolves the first: success, or a conflict, after which the history
+// shows whose edit has the revision.
 func (s *submission) commit(ctx context.Context, base Snapshot, next *proposal) (Result, bool) {
 	uncertain := false
-	var last error
+	var lastErr error
 	for attempt := range s.reader.retry.MaxAttempts {
 		if attempt > 0 && s.reader.retry.Backoff(ctx, attempt) != nil {
 			break
@@ -27,22 +28,22 @@
 		err := s.update(ctx, base, next)
 		switch {
 		case err == nil:
-			s.collect(ctx, next)
+			s.collectGarbage(ctx, next)
 			return s.accepted(next.record), true
 		case errors.Is(err, platform.ErrConflict) && !uncertain:
 			return Result{}, false
 		case errors.Is(err, platform.ErrConflict):
-			return s.settle(ctx, base, next)
-		case !noEffect(err):
+			return s.resolveOutcome(ctx, base, next)
+		case !hadNoEffect(err):
 			uncertain = true
 		}
-		last = err
+		lastErr = err
 	}
 	if !uncertain {
-		s.discard(ctx, next)
-		return s.notAccepted(fleet.Wrap(last, fleet.StepUpdate, "")), true
+		s.discardChunks(ctx, next)
+		return s.notAccepted(fleet.Wrap(lastErr, fleet.StepUpdate, "")), true
 	}
-	return s.settle(ctx, base, next)
+	return s.resolveOutcome(ctx, base, next)
 }
 
 func (s *submission) update(ctx context.Context, base Snapshot, next *proposal) error {
@@ -52,14 +53,14 @@
 	return err
 }
 
-// settle reads back whose edit followed the base. As long as the head is still
-// the base, an update on its way could yet take effect, so nothing is certain.
-func (s *submission) settle(ctx context.Context, base Snapshot, next *proposal) (Result, bool) {
+// resolveOutcome reads which edit followed the base. While the head is still that
+// of the base, an update in flight may yet take effect, so the outcome is unknown.
+func (s *submission) resolveOutcome(ctx context.Context, base Snapshot, next *proposal) (Result, bool) {
 	head, _, err := s.reader.ReadHead(ctx, base.Version+1)
 	if err != nil {
 		return s.unknown(next, fleet.Wrap(err, fleet.StepReply, "")), true
 	}
-	outcome, record, err := s.reader.outcomeIn(ctx, head, s.id, next.record.Revision)
+	outcome, record, err := s.reader.outcomeAt(ctx, head, s.id, next.record.Revision)
 	switch {
 	case err != nil || outcome == OutcomeUnknown:
 		return s.unknown(next, fleet.Wrap(err, fleet.StepReply, "")), true
--- a/internal/settings/delta.go
+++ b/internal/settings/delta.go
@@ -6,78 +6,78 @@
 	"github.com/pkg/errors"
 )
 
-// plainDeltaBytes is the size below which a delta is not compressed: a short
-// one would become longer.
-const plainDeltaBytes = 512
+// maxUncompressedDeltaBytes is the size up to which a delta is not compressed,
+// since compression would make a short one longer.
+const maxUncompressedDeltaBytes = 512
 
-// plainMark begins a delta that is not compressed. A compressed one begins with
-// another byte.
-const plainMark = '{'
+// uncompressedPrefix is the first byte of an uncompressed delta. A compressed
+// one starts with the gzip magic number.
+const uncompressedPrefix = '{'
 
-// delta is what one node sends another: the edits after a revision, or the
-// whole tree.
+// delta is an update from one node to another: the edits after a revision, or
+// the complete tree.
 type delta struct {
-	Edits []editDelta `json:"edits,omitempty"` // gapless
-	Whole *wholeTree  `json:"whole,omitempty"`
+	Edits    []editDelta `json:"edits,omitempty"` // consecutive revisions
+	FullTree *fullTree   `json:"whole,omitempty"`
 }
 
-// editDelta is an accepted edit without what only its history needs.
+// editDelta is an accepted edit without the fields that only the history needs.
 type editDelta struct {
 	Revision uint64   `json:"revision"`
 	Changes  []Change `json:"changes"`
 }
 
-// wholeTree is a tree at a revision.
-type wholeTree struct {
+// fullTree is the encoded form of a tree at a revision.
+type fullTree struct {
 	Revision uint64      `json:"revision"`
 	Nodes    []chunkNode `json:"nodes"`
 }
 
 func newEditDelta(record Record) editDelta {
 	changes := make([]Change, len(record.Changes))
-	for place, change := range record.Changes {
+	for i, change := range record.Changes {
 		change.Before = ""
 		if change.Op == OpRemove {
 			change.Settings = nil
 		}
-		changes[place] = change
+		changes[i] = change
 	}
 	return editDelta{Revision: record.Revision, Changes: changes}
 }
 
-func newWholeTree(tree *Tree) *wholeTree {
-	whole := &wholeTree{Revision: tree.Revision()}
+func newFullTree(tree *Tree) *fullTree {
+	full := &fullTree{Revision: tree.Revision()}
 	for _, path := range tree.Paths() {
-		whole.Nodes = append(whole.Nodes, chunkNode{Path: path, Settings: tree.nodes[path].settings})
+		full.Nodes = append(full.Nodes, chunkNode{Path: path, Settings: tree.nodes[path].settings})
 	}
-	return whole
+	return full
 }
 
-func (w *wholeTree) tree() *Tree {
-	tree := NewTree().WithRevision(w.Revision)
-	for _, entry := range w.Nodes {
+func (f *fullTree) tree() *Tree {
+	tree := NewTree().WithRevision(f.Revision)
+	for _, entry := range f.Nodes {
 		tree.nodes[entry.Path] = newNode(entry.Settings)
 	}
 	return tree
 }
 
 func encodeDelta(d delta) ([]byte, error) {
-	plain, err := json.Marshal(d)
+	text, err := json.Marshal(d)
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
-	if len(plain) <= plainDeltaBytes {
-		return plain, nil
+	if len(text) <= maxUncompressedDeltaBytes {
+		return text, nil
 	}
 	return encode(d)
 }
 
 func decodeDelta(data []byte) (delta, error) {
 	var d delta
-	if len(data) > 0 && data[0] == plainMark {
+	if len(data) > 0 && data[0] == uncompressedPrefix {
 		err := json.Unmarshal(data, &d)
-		return d, errors.Wrap(err, "delta of the settings")
+		return d, errors.Wrap(err, "decoding a settings delta")
 	}
 	err := decode(data, &d)
-	return d, errors.WithMessage(err, "delta of the settings")
+	return d, errors.WithMessage(err, "decoding a settings delta")
 }
--- a/internal/settings/doc.go
+++ b/internal/settings/doc.go
@@ -1,4 +1,4 @@
-// Package settings holds the tree by which operators steer the fleet: its
-// nodes, the values that they inherit and override, the edits that change it,
-// and the form in which it is kept on the platform.
+// Package settings implements the hierarchical settings of the fleet: the tree
+// of nodes with inherited and overridden values, the edits that operators make
+// to it, and its storage on the platform.
 package settings
--- a/internal/settings/editor.go
+++ b/internal/settings/editor.go
@@ -11,7 +11,7 @@
 	"github.com/bluebellchute/bluebellchute/internal/platform"
 )
 
-// Outcome is what is known of a submitted edit.
+// Outcome is the outcome of a submitted edit, as far as it is known.
 type Outcome string
 
 // The outcomes of an edit.
@@ -19,52 +19,52 @@
 	// OutcomeAccepted means that the edit is in the history and will reach
 	// every node.
 	OutcomeAccepted Outcome = "accepted"
-	// OutcomeConflict means that the edit is not accepted and never will be,
-	// because another one came first.
+	// OutcomeConflict means that the edit was not accepted and never will be,
+	// because a conflicting one was accepted first.
 	OutcomeConflict Outcome = "conflict"
-	// OutcomeNotAccepted means that the edit is not accepted and never will be.
+	// OutcomeNotAccepted means that the edit was not accepted and never will be.
 	OutcomeNotAccepted Outcome = "not-accepted"
 	// OutcomeUnknown means that the edit may have been accepted or may yet be.
-	// Reader.OutcomeOf tells later.
+	// Reader.OutcomeOf returns the outcome once it is known.
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// ErrNoChange tells that an edit would change nothing. It is not accepted.
+// ErrNoChange is the error of an edit that changes nothing. It is not accepted.
 var ErrNoChange = errors.New("the edit changes nothing")
 
-// Edit is a set of changes that are accepted together or not at all.
+// Edit is a set of changes that are accepted atomically.
 type Edit struct {
 	Operator string
 	Reason   string
 	Changes  []Change
-	// ExpectedRevision is the revision that the tree must have; nil accepts any.
+	// ExpectedRevision is the revision that the tree must have; nil allows any.
 	ExpectedRevision *uint64
-	// BaseRevision is the revision that the operator has seen. An edit made since
-	// then to the same keys is a conflict. Nil takes the revision at which
+	// BaseRevision is the revision that the operator has seen. A later edit
+	// with overlapping changes is a conflict. Nil means the revision at which
 	// Submit first reads the tree.
 	BaseRevision *uint64
 }
 
-// Result tells how a submitted edit ended.
+// Result is the result of Editor.Submit.
 type Result struct {
 	Outcome   Outcome  `json:"outcome"`
 	ID        EditID   `json:"edit"`
-	Revision  uint64   `json:"revision,omitempty"` // of the accepted edit; the only one it can have when the outcome is unknown
-	Changes   []Change `json:"changes,omitempty"`  // of the accepted edit, with the values from before
-	Conflicts []Record `json:"others,omitempty"`   // the edits that it is in conflict with
-	Err       error    `json:"-"`                  // why it was not accepted, or why that is unknown
+	Revision  uint64   `json:"revision,omitempty"` // of the accepted edit; if the outcome is unknown, the only one that the edit can get
+	Changes   []Change `json:"changes,omitempty"`  // of the accepted edit, with the previous values
+	Conflicts []Record `json:"others,omitempty"`   // the accepted edits that conflict with it
+	Err       error    `json:"-"`                  // why it was not accepted, or why the outcome is unknown
 }
 
-// Editor submits edits. It is not safe for concurrent use; operators have one
-// each.
+// Editor submits edits. It is not safe for concurrent use; each operator needs
+// its own.
 type Editor struct {
-	Now   func() time.Time       // the time that the history records
-	NewID func() (EditID, error) // makes the ids of edits
+	Now   func() time.Time       // returns the time to record in the history
+	NewID func() (EditID, error) // generates the IDs of edits
 
 	reader *Reader
 }
 
-// NewEditor returns an editor of the platform's settings.
+// NewEditor returns an editor of the settings on the platform.
 func NewEditor(api platform.API, retry RetryPolicy) *Editor {
 	return &Editor{Now: time.Now, NewID: uuid.NewV7, reader: NewReader(api, retry)}
 }
@@ -72,13 +72,13 @@
 // Reader returns the editor's reader.
 func (e *Editor) Reader() *Reader { return e.reader }
 
-// Submit checks an edit and has it accepted by a conditional update of the
-// head. When another edit came first, the edit is applied to the new tree,
-// unless both touch the same keys.
+// Submit validates an edit and commits it by a conditional update of the head.
+// If another edit came first, Submit applies the edit to the new tree, unless
+// the two overlap.
 //
-// Each Submit makes an edit id of its own. A second Submit under the id of one
-// whose outcome is unknown could report the edit as not accepted while the
-// first one's update is still on its way to the platform.
+// Each Submit generates a new edit ID. If a second Submit reused the ID of one
+// with an unknown outcome, it could report the edit as not accepted while the
+// first one's update is still in flight to the platform.
 func (e *Editor) Submit(ctx context.Context, edit Edit) Result {
 	id, err := e.NewID()
 	if err != nil {
@@ -87,30 +87,30 @@
 	return (&submission{Editor: e, id: id, edit: edit}).run(ctx)
 }
 
-// submission is the course of one Submit.
+// submission is the state of one Submit.
 type submission struct {
 	*Editor
-	id      EditID
-	edit    Edit
-	atLeast platform.Version // a head below it is known to be out of date
+	id         EditID
+	edit       Edit
+	minVersion platform.Version // an older head is known to be stale
 }
 
 func (s *submission) run(ctx context.Context) Result {
 	for range s.reader.retry.MaxAttempts {
-		base, err := s.reader.Read(ctx, s.atLeast)
+		base, err := s.reader.Read(ctx, s.minVersion)
 		if err != nil {
 			return s.notAccepted(fleet.Wrap(err, fleet.StepEdit, ""))
 		}
-		if s.ahead(base) {
-			s.atLeast = base.Version + 1
+		if s.readIsStale(base) {
+			s.minVersion = base.Version + 1
 			continue
 		}
-		if result, done := s.checkBase(ctx, base); done {
+		if result, done := s.checkConflicts(ctx, base); done {
 			return result
 		}
 		next, err := s.propose(ctx, base)
 		if errors.Is(err, errStale) {
-			s.atLeast = base.Version + 1
+			s.minVersion = base.Version + 1
 			continue
 		}
 		if err != nil {
@@ -120,17 +120,17 @@
 		if decided {
 			return result
 		}
-		// The edit lost the race for this revision and certainly has had no
-		// effect, so it may be made again on top of the winner.
-		s.atLeast = base.Version + 1
-		s.discard(ctx, next)
+		// Another edit got this revision and this one certainly had no effect,
+		// so it can be retried on top of the other.
+		s.minVersion = base.Version + 1
+		s.discardChunks(ctx, next)
 	}
 	return s.notAccepted(fleet.Errorf(fleet.StepUpdate, "", "other edits came first at each of %d attempts", s.reader.retry.MaxAttempts))
 }
 
-// ahead reports whether the operator has seen a newer tree than was read, so
-// that the read was out of date.
-func (s *submission) ahead(base Snapshot) bool {
+// readIsStale reports whether the operator has seen a newer revision than the one
+// that was read.
+func (s *submission) readIsStale(base Snapshot) bool {
 	for _, seen := range []*uint64{s.edit.BaseRevision, s.edit.ExpectedRevision} {
 		if seen != nil && *seen > base.Head.Revision {
 			return true
@@ -139,9 +139,10 @@
 	return false
 }
 
-// checkBase looks at the edits that the operator has not seen.
-func (s *submission) checkBase(ctx context.Context, base Snapshot) (Result, bool) {
-	others, err := s.unseen(ctx, base.Head)
+// checkConflicts returns a result and true if edits that the operator hasn't seen
+// conflict with this one.
+func (s *submission) checkConflicts(ctx context.Context, base Snapshot) (Result, bool) {
+	others, err := s.conflictingEdits(ctx, base.Head)
 	if err != nil {
 		return s.notAccepted(fleet.Wrap(err, fleet.StepEdit, "")), true
 	}
@@ -154,20 +155,20 @@
 	}, true
 }
 
-// unseen returns the edits that the operator has not seen and that stand
-// against this one.
-func (s *submission) unseen(ctx context.Context, head *Head) ([]Record, error) {
+// conflictingEdits returns the accepted edits that the operator has not seen and
+// that conflict with this one.
+func (s *submission) conflictingEdits(ctx context.Context, head *Head) ([]Record, error) {
 	if s.edit.ExpectedRevision != nil {
-		return s.reader.after(ctx, head, *s.edit.ExpectedRevision)
+		return s.reader.editsAfter(ctx, head, *s.edit.ExpectedRevision)
 	}
 	if s.edit.BaseRevision == nil {
 		s.edit.BaseRevision = &head.Revision
 	}
-	others, err := s.reader.after(ctx, head, *s.edit.BaseRevision)
-	return overlapping(others, s.edit.Changes), err
+	others, err := s.reader.editsAfter(ctx, head, *s.edit.BaseRevision)
+	return overlappingEdits(others, s.edit.Changes), err
 }
 
-func overlapping(records []Record, changes []Change) []Record {
+func overlappingEdits(records []Record, changes []Change) []Record {
 	var found []Record
 	for _, record := range records {
 		if anyOverlap(record.Changes, changes) {
--- a/internal/settings/explain.go
+++ b/internal/settings/explain.go
@@ -1,23 +1,23 @@
 package settings
 
-// Source is a place that gives a key a value.
+// Source is a node or the registry's default that provides a value of a key.
 type Source struct {
 	Path  Path   `json:"path,omitempty"` // empty for the registry's default
 	Value string `json:"value"`
 }
 
-// Explanation tells the value of a key that is in force at a node, and why.
+// Explanation describes the effective value of a key at a node and its origin.
 type Explanation struct {
 	Path       Path     `json:"path"`
 	Key        KeyName  `json:"key"`
-	Value      string   `json:"value"` // empty when no place gives one
+	Value      string   `json:"value"` // empty if there is none
 	From       Path     `json:"from,omitempty"`
-	Default    bool     `json:"default"`              // the value comes from the registry
-	Overridden []Source `json:"overridden,omitempty"` // what it overrides, the nearest first
+	Default    bool     `json:"default"`              // whether the value is the registry's default
+	Overridden []Source `json:"overridden,omitempty"` // the values that it overrides, nearest first
 }
 
-// Explain tells the value of a key that is in force at a node and where it
-// comes from.
+// Explain returns the effective value of a key at a node and where it comes
+// from.
 func (t *Tree) Explain(path Path, name KeyName) (Explanation, error) {
 	key, ok := LookupKey(name)
 	if !ok {
@@ -39,7 +39,7 @@
 	return explanation, nil
 }
 
-// sources lists the places that give a key a value, the one in force first.
+// sources lists all values of a key that apply at a node, the effective one first.
 func (t *Tree) sources(path Path, key Key) []Source {
 	var sources []Source
 	for {
--- a/internal/settings/generate_test.go
+++ b/internal/settings/generate_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawTree draws a valid tree with a few nodes of every kind.
+// drawTree draws a valid tree with up to a dozen changes to the initial one.
 func drawTree(t *rapid.T) *Tree {
 	tree := NewTree()
 	count := rapid.IntRange(0, 12).Draw(t, "changes")
--- a/internal/settings/initext.go
+++ b/internal/settings/initext.go
@@ -8,18 +8,18 @@
 	"gopkg.in/ini.v1"
 )
 
-// ParseINI reads a tree from its text form: one section for each node, named
-// by its path, with the values that the node sets itself. Nodes above a section
-// need no section of their own. The error lists all mistakes.
+// ParseINI parses a tree in INI form: one section per node, named by its path,
+// with the node's own values. Ancestors of a node need no section. The error
+// lists all mistakes.
 func ParseINI(text []byte) (*Tree, error) {
 	file, err := ini.LoadSources(ini.LoadOptions{
-		AllowShadows:               true, // shows a key that is given twice
+		AllowShadows:               true, // to detect duplicate keys
 		AllowDuplicateShadowValues: true,
-		AllowNonUniqueSections:     true, // shows a section that is given twice
+		AllowNonUniqueSections:     true, // to detect duplicate sections
 		KeyValueDelimiters:         "=",
 	}, text)
 	if err != nil {
-		return nil, errors.Wrap(err, "reading the text form of the settings")
+		return nil, errors.Wrap(err, "parsing the settings")
 	}
 	tree := NewTree()
 	var mistakes []Mistake
@@ -27,7 +27,7 @@
 	for _, section := range file.Sections() {
 		path := Path(section.Name())
 		if section.Name() == ini.DefaultSection {
-			mistakes = append(mistakes, outsideSections(section)...)
+			mistakes = append(mistakes, keysOutsideSections(section)...)
 			continue
 		}
 		if seen[path] {
@@ -43,7 +43,7 @@
 	return tree, nil
 }
 
-func outsideSections(section *ini.Section) []Mistake {
+func keysOutsideSections(section *ini.Section) []Mistake {
 	var mistakes []Mistake
 	for _, key := range section.Keys() {
 		mistakes = append(mistakes, Mistake{
@@ -55,13 +55,13 @@
 	return mistakes
 }
 
-// addSection adds a node to a tree that is being read.
+// addSection adds the node of a section to a tree that is being parsed.
 func (t *Tree) addSection(path Path, section *ini.Section) []Mistake {
 	if !path.Valid() {
 		return []Mistake{{Path: path, Problem: "not a path", Allowed: segmentRule}}
 	}
 	var mistakes []Mistake
-	var own []Setting
+	var settings []Setting
 	for _, key := range section.Keys() {
 		values := key.ValueWithShadows()
 		if len(values) > 1 {
@@ -70,18 +70,18 @@
 				Problem: "the key is given twice",
 			})
 		}
-		own = append(own, Setting{Key: KeyName(key.Name()), Value: key.Value()})
+		settings = append(settings, Setting{Key: KeyName(key.Name()), Value: key.Value()})
 	}
 	t.ensureParents(path)
-	t.nodes[path] = newNode(own)
+	t.nodes[path] = newNode(settings)
 	return mistakes
 }
 
-// FormatINI writes the text form of a tree. Equal trees give equal texts.
+// FormatINI returns the INI form of a tree. Equal trees give equal texts.
 func FormatINI(tree *Tree) []byte {
 	var text strings.Builder
-	for place, path := range tree.Paths() {
-		if place > 0 {
+	for i, path := range tree.Paths() {
+		if i > 0 {
 			text.WriteString("\n")
 		}
 		fmt.Fprintf(&text, "[%s]\n", path)
--- a/internal/settings/key.go
+++ b/internal/settings/key.go
@@ -9,39 +9,39 @@
 // KeyName names a setting.
 type KeyName string
 
-// ValueType tells how the text of a value is read.
+// ValueType determines how the text of a value is parsed.
 type ValueType string
 
-// The types of value.
+// The value types.
 const (
 	TypeInteger  ValueType = "integer"
 	TypeNumber   ValueType = "number"
-	TypeBytes    ValueType = "bytes"    // an integer, which may end in KiB, MiB or GiB
+	TypeBytes    ValueType = "bytes"    // an integer, optionally with the suffix KiB, MiB or GiB
 	TypeDuration ValueType = "duration" // as in 250ms, 30s, 1h30m
 	TypeBoolean  ValueType = "boolean"  // true or false
 	TypeChoice   ValueType = "choice"
 	TypeHashes   ValueType = "hashes" // SHA-256 in hexadecimal, separated by commas
 )
 
-// Key describes one setting of the registry.
+// Key describes a setting in the registry.
 type Key struct {
 	Name      KeyName
 	Type      ValueType
-	Unit      string     // empty when the value has none
-	Default   string     // in force where no node sets the key; empty when there is none
-	Min, Max  float64    // allowed range; durations in seconds
+	Unit      string     // empty if the value has none
+	Default   string     // used where no node sets the key; empty if there is none
+	Min, Max  float64    // allowed range, inclusive; durations in seconds
 	Choices   []string   // for TypeChoice
-	NodeKinds []NodeKind // kinds of node that may set it
-	Inherited bool       // in force below the node that sets it
+	NodeKinds []NodeKind // node kinds that may set it
+	Inherited bool       // whether it also applies below the node that sets it
 	Doc       string
 
-	// account and service return the field that the value goes to, or are
-	// nil when the key is not part of that policy.
+	// account and service return a pointer to the policy field for the value;
+	// they are nil if the key is not part of that policy.
 	account func(*AccountPolicy) any
 	service func(*ServicePolicy) any
 }
 
-// Names of the keys that code refers to.
+// Names of the keys that the code refers to.
 const (
 	KeyNode              KeyName = "node"
 	KeyAPIKey            KeyName = "api_key_sha256"
@@ -53,7 +53,7 @@
 	KeyHeartbeatInterval KeyName = "heartbeat_interval"
 )
 
-// Keys lists the registry in the order in which values are exported.
+// Keys lists all keys in registry order, in which values are also exported.
 func Keys() []Key { return slices.Clone(registry) }
 
 // LookupKey returns the description of a key.
@@ -65,10 +65,10 @@
 	return registry[index], true
 }
 
-// AllowedAt reports whether nodes of a kind may set the key.
+// AllowedAt reports whether nodes of the given kind may set the key.
 func (k Key) AllowedAt(kind NodeKind) bool { return slices.Contains(k.NodeKinds, kind) }
 
-// Allowed describes the values that the key takes.
+// Allowed describes the allowed values of the key.
 func (k Key) Allowed() string {
 	switch k.Type {
 	case TypeChoice:
@@ -84,8 +84,8 @@
 	}
 }
 
-// order gives a key's place in the registry; unknown keys come last.
-func (n KeyName) order() int {
+// registryPosition returns the key's index in the registry; unknown keys come last.
+func (n KeyName) registryPosition() int {
 	index, ok := registryIndex[n]
 	if !ok {
 		return len(registry)
@@ -97,8 +97,8 @@
 
 func indexRegistry() map[KeyName]int {
 	index := make(map[KeyName]int, len(registry))
-	for place, key := range registry {
-		index[key.Name] = place
+	for i, key := range registry {
+		index[key.Name] = i
 	}
 	return index
 }
--- a/internal/settings/mistake.go
+++ b/internal/settings/mistake.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Mistake is one fault of a tree or of an edit.
+// Mistake is a validation error in a tree or an edit.
 type Mistake struct {
 	Path    Path    `json:"path"`
 	Key     KeyName `json:"key,omitempty"`
@@ -14,7 +14,7 @@
 	Allowed string  `json:"allowed,omitempty"`
 }
 
-// String names path, key, value, what is wrong and what is allowed.
+// String returns the path, key, value, problem and allowed values in one line.
 func (m Mistake) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "[%s]", m.Path)
@@ -31,12 +31,12 @@
 	return text.String()
 }
 
-// ValidationError lists all mistakes of a tree or of an edit.
+// ValidationError lists all mistakes in a tree or an edit.
 type ValidationError struct {
 	Mistakes []Mistake
 }
 
-// Error implements error with one mistake a line.
+// Error implements error, with one mistake per line.
 func (e *ValidationError) Error() string {
 	lines := make([]string, len(e.Mistakes))
 	for i, mistake := range e.Mistakes {
@@ -45,7 +45,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// asError returns the mistakes as an error, or nil when there are none.
+// asError returns the mistakes as an error, or nil if there are none.
 func asError(mistakes []Mistake) error {
 	if len(mistakes) == 0 {
 		return nil
--- a/internal/settings/operators_test.go
+++ b/internal/settings/operators_test.go
@@ -9,38 +9,35 @@
 	"pgregory.net/rapid"
 )
 
-// TestOperatorsAndFaults draws interleavings of several operators' edits, call
-// by call, with a fault at any of the calls.
-//
-// Symptom: an operator is told that an edit failed, and the fleet follows it;
-// or two edits get the same revision; or an accepted edit is missing from the
-// history. Sequence of events: any calls of any operators in any order, each
-// of them refused, lost, late or answered from an old state. Cause: a decision
-// that trusts one reply, or an order of writes that leaves a gap.
+// TestOperatorsAndFaults draws interleavings of the calls of several operators, with
+// a fault at any call: rejected, lost, late or answered with a stale state. It
+// guards against edits that are reported as failed but take effect, two edits with
+// the same revision, and accepted edits that are missing from the history. They can
+// result from trusting a single reply, or from an order of writes that leaves a gap.
 func TestOperatorsAndFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		race := newRace(t)
-		results := race.run()
-		race.shared.applyLate()
-		requireTruth(t, race.shared, results)
+		schedule := newOperatorSchedule(t)
+		results := schedule.run()
+		schedule.shared.applyLateWrites()
+		requireConsistentResults(t, schedule.shared, results)
 	})
 }
 
-// race runs operators whose calls wait for the test's decision, so that only
-// one operator runs at a time and each run of the test is the same.
-type race struct {
+// operatorSchedule runs operators whose calls wait for a decision of the test, so
+// that only one operator runs at a time and the test is deterministic.
+type operatorSchedule struct {
 	t         *rapid.T
 	shared    *sharedPlatform
 	operators []*operator
 }
 
 type operator struct {
-	number  int
-	crashed bool
-	asks    chan call       // the next call, or closed at the end
-	answers chan fault      // the decision about it
-	edits   []Edit          // to submit, one after the other
-	results map[int]*Result // by place in edits
+	number    int
+	crashed   bool
+	calls     chan call       // the next call; closed at the end
+	decisions chan fault      // the fault of that call
+	edits     []Edit          // to submit in this order
+	results   map[int]*Result // by index in edits
 }
 
 type call struct {
@@ -48,9 +45,9 @@
 	key   string
 }
 
-func newRace(t *rapid.T) *race {
-	r := &race{t: t, shared: newSharedPlatform()}
-	first := newTestEditor(r.shared.store).Submit(context.Background(), Edit{
+func newOperatorSchedule(t *rapid.T) *operatorSchedule {
+	s := &operatorSchedule{t: t, shared: newSharedPlatform()}
+	first := newTestEditor(s.shared.store).Submit(context.Background(), Edit{
 		Operator: "first",
 		Changes:  []Change{{Op: OpCreate, Path: "acme/labs/alice"}, {Op: OpCreate, Path: "acme/labs/bob"}},
 	})
@@ -58,44 +55,44 @@
 		t.Fatalf("%+v", first)
 	}
 	for number := range rapid.IntRange(1, 3).Draw(t, "operators") {
-		operator := &operator{number: number, asks: make(chan call), answers: make(chan fault), results: make(map[int]*Result)}
-		for place := range rapid.IntRange(1, 6).Draw(t, "edits") {
+		operator := &operator{number: number, calls: make(chan call), decisions: make(chan fault), results: make(map[int]*Result)}
+		for i := range rapid.IntRange(1, 6).Draw(t, "edits") {
 			operator.edits = append(operator.edits, Edit{
-				Operator: fmt.Sprint(number), Changes: []Change{drawEdit(t, number, place)},
+				Operator: fmt.Sprint(number), Changes: []Change{drawEdit(t, number, i)},
 			})
 		}
-		r.operators = append(r.operators, operator)
+		s.operators = append(s.operators, operator)
 	}
-	return r
+	return s
 }
 
-// drawEdit draws an edit that is unlike all others, so that each one changes
-// something.
-func drawEdit(t *rapid.T, operator, place int) Change {
+// drawEdit draws an edit whose value differs from that of all others, so that it
+// always changes something.
+func drawEdit(t *rapid.T, operator, index int) Change {
 	path := rapid.SampledFrom([]Path{"acme", "acme/labs/alice", "acme/labs/bob"}).Draw(t, "path")
 	key := rapid.SampledFrom([]KeyName{"weight", "queue_requests"}).Draw(t, "key")
-	return Change{Op: OpSet, Path: path, Key: key, After: fmt.Sprint(2 + operator*10 + place)}
+	return Change{Op: OpSet, Path: path, Key: key, After: fmt.Sprint(2 + operator*10 + index)}
 }
 
-func (r *race) run() []Result {
-	running := make([]*operator, 0, len(r.operators))
-	for _, operator := range r.operators {
-		go operator.submitAll(r.shared)
+func (s *operatorSchedule) run() []Result {
+	running := make([]*operator, 0, len(s.operators))
+	for _, operator := range s.operators {
+		go operator.submitAll(s.shared)
 		running = append(running, operator)
 	}
 	waiting := make(map[*operator]call)
 	for {
-		running = slices.DeleteFunc(running, func(o *operator) bool { return !r.await(o, waiting) })
+		running = slices.DeleteFunc(running, func(o *operator) bool { return !s.await(o, waiting) })
 		if len(running) == 0 {
 			break
 		}
-		next := rapid.SampledFrom(running).Draw(r.t, "operator")
-		decision := r.drawFault(next, waiting[next])
+		next := rapid.SampledFrom(running).Draw(s.t, "operator")
+		decision := s.drawFault(next, waiting[next])
 		delete(waiting, next)
-		next.answers <- decision
+		next.decisions <- decision
 	}
 	var results []Result
-	for _, operator := range r.operators {
+	for _, operator := range s.operators {
 		for _, result := range operator.results {
 			results = append(results, *result)
 		}
@@ -103,65 +100,67 @@
 	return results
 }
 
-// await waits until an operator is at its next call; false is its end.
-func (r *race) await(o *operator, waiting map[*operator]call) bool {
+// await waits for an operator's next call. It returns false when the operator has
+// finished.
+func (s *operatorSchedule) await(o *operator, waiting map[*operator]call) bool {
 	if _, ok := waiting[o]; ok {
 		return true
 	}
-	next, ok := <-o.asks
+	next, ok := <-o.calls
 	if ok {
 		waiting[o] = next
 	}
 	return ok
 }
 
-func (r *race) drawFault(o *operator, next call) fault {
+func (s *operatorSchedule) drawFault(o *operator, next call) fault {
 	if o.crashed {
 		return faultDown
 	}
-	if len(r.shared.late) > 0 && rapid.IntRange(0, 3).Draw(r.t, "late writes arrive") == 0 {
-		r.shared.applyLate()
+	if len(s.shared.lateWrites) > 0 && rapid.IntRange(0, 3).Draw(s.t, "late writes arrive") == 0 {
+		s.shared.applyLateWrites()
 	}
-	// Most calls go well; else no edit would get past its first steps.
+	// Most calls succeed; otherwise no edit would get past its first steps.
 	faults := []fault{faultNone, faultNone, faultNone, faultNone, faultNone, faultNone, faultDown, faultStale}
 	if next.write {
 		faults = []fault{faultNone, faultNone, faultNone, faultNone, faultDown, faultReplyLost, faultReplyLost, faultNoEffect, faultLate}
 	}
-	drawn := rapid.SampledFrom(faults).Draw(r.t, "fault")
-	o.crashed = rapid.IntRange(0, 99).Draw(r.t, "crash") == 57
+	drawn := rapid.SampledFrom(faults).Draw(s.t, "fault")
+	o.crashed = rapid.IntRange(0, 99).Draw(s.t, "crash") == 57
 	return drawn
 }
 
 func (o *operator) submitAll(shared *sharedPlatform) {
-	defer close(o.asks)
-	editor := newTestEditor(shared.gate(func(write bool, key string) fault {
-		o.asks <- call{write: write, key: key}
-		return <-o.answers
+	defer close(o.calls)
+	editor := newTestEditor(shared.withFaults(func(write bool, key string) fault {
+		o.calls <- call{write: write, key: key}
+		return <-o.decisions
 	}))
-	// Operators with programs of two versions may move different numbers of edits.
+	// Different versions of the program may move different numbers of edits.
 	editor.reader.limits.maxRecent += o.number
-	for place, edit := range o.edits {
+	for i, edit := range o.edits {
 		result := editor.Submit(context.Background(), edit)
-		o.results[place] = &result
+		o.results[i] = &result
 	}
 }
 
-// fataler is what testing.T and rapid.T have in common here.
+// fataler is implemented by testing.T and rapid.T.
 type fataler interface {
 	Fatal(args ...any)
 	Fatalf(format string, args ...any)
 }
 
-// requireTruth checks the history and what the operators were told.
-func requireTruth(t fataler, shared *sharedPlatform, results []Result) {
+// requireConsistentResults checks that the history is consistent with the tree and
+// with the results that the operators got.
+func requireConsistentResults(t fataler, shared *sharedPlatform, results []Result) {
 	records, err := shared.history()
 	if err != nil {
 		t.Fatal(err)
 	}
 	replayed := NewTree()
-	for place, record := range records {
-		if record.Revision != uint64(place)+1 {
-			t.Fatalf("revision %d follows revision %d", record.Revision, place)
+	for i, record := range records {
+		if record.Revision != uint64(i)+1 {
+			t.Fatalf("revision %d follows revision %d", record.Revision, i)
 		}
 		next, changes, err := replayed.Apply(record.Changes)
 		if err != nil || fmt.Sprint(changes) != fmt.Sprint(record.Changes) {
@@ -169,7 +168,7 @@
 		}
 		replayed = next
 	}
-	snapshot, err := NewReader(shared.store, quickRetry()).Read(context.Background(), 0)
+	snapshot, err := NewReader(shared.store, noWaitRetry()).Read(context.Background(), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -177,39 +176,37 @@
 		t.Fatalf("tree:\n%s\nreplayed history:\n%s", FormatINI(snapshot.Tree), FormatINI(replayed))
 	}
 	for _, result := range results {
-		requireTrueResult(t, shared, records, result)
+		requireConsistentResult(t, shared, records, result)
 	}
 }
 
-func requireTrueResult(t fataler, shared *sharedPlatform, records []Record, result Result) {
-	times := count(records, result.ID)
+func requireConsistentResult(t fataler, shared *sharedPlatform, records []Record, result Result) {
+	occurrences := countRecords(records, result.ID)
 	switch result.Outcome {
 	case OutcomeAccepted:
-		if times != 1 || records[result.Revision-1].ID != result.ID {
-			t.Fatalf("accepted as revision %d, but %d times in the history", result.Revision, times)
+		if occurrences != 1 || records[result.Revision-1].ID != result.ID {
+			t.Fatalf("accepted as revision %d, but %d times in the history", result.Revision, occurrences)
 		}
 	case OutcomeConflict:
-		if times != 0 || len(result.Conflicts) == 0 {
-			t.Fatalf("conflict with %d edits, but %d times in the history", len(result.Conflicts), times)
+		if occurrences != 0 || len(result.Conflicts) == 0 {
+			t.Fatalf("conflict with %d edits, but %d times in the history", len(result.Conflicts), occurrences)
 		}
 	case OutcomeNotAccepted:
-		if times != 0 {
-			t.Fatalf("not accepted (%v), but %d times in the history", result.Err, times)
+		if occurrences != 0 {
+			t.Fatalf("not accepted (%v), but %d times in the history", result.Err, occurrences)
 		}
 	case OutcomeUnknown:
-		later, _, err := NewReader(shared.store, quickRetry()).OutcomeOf(context.Background(), result.ID, result.Revision)
-		if err != nil || times > 1 || (later == OutcomeAccepted) != (times == 1) {
-			t.Fatalf("%d times in the history, later found %s: %v", times, later, err)
+		later, _, err := NewReader(shared.store, noWaitRetry()).OutcomeOf(context.Background(), result.ID, result.Revision)
+		if err != nil || occurrences > 1 || (later == OutcomeAccepted) != (occurrences == 1) {
+			t.Fatalf("%d times in the history, later found %s: %v", occurrences, later, err)
 		}
 	}
 }
 
-// TestChunksSplitAndStop
-//
-// Symptom: an edit never ends and takes all memory, or an object is larger than
-// the platform holds. Sequence of events: the tree grows, or one node does.
-// Cause: chunks that do not split, or that split for ever.
-func TestChunksSplitAndStop(t *testing.T) {
+// TestChunkCountIsBounded guards against chunks that exceed the platform's size
+// limit because they aren't split as the tree grows, and against edits that exhaust
+// memory because splitting never ends.
+func TestChunkCountIsBounded(t *testing.T) {
 	shared := newSharedPlatform()
 	editor := newTestEditor(shared.store)
 	var changes []Change
@@ -233,8 +230,8 @@
 		t.Fatalf("%d chunks: %v", len(head.Chunks), err)
 	}
 	changed := 0
-	for place, ref := range head.Chunks {
-		if ref != refs[place] {
+	for i, ref := range head.Chunks {
+		if ref != refs[i] {
 			changed++
 		}
 	}
--- a/internal/settings/path.go
+++ b/internal/settings/path.go
@@ -5,22 +5,22 @@
 	"strings"
 )
 
-// Path names a node of the tree: segments joined by slashes, as in
+// Path identifies a node of the tree: segments joined by slashes, as in
 // "acme/labs/alice". The root is "/".
 type Path string
 
 // Fixed paths of the tree.
 const (
 	Root         Path = "/"
-	ServicesPath Path = "services" // holds the services and what they have in common
+	ServicesPath Path = "services" // parent of all services; its values apply to all of them
 )
 
 const separator = "/"
 
-// NodeKind tells what a node of the tree stands for.
+// NodeKind is the kind of a node: what it represents.
 type NodeKind string
 
-// The kinds of node.
+// The node kinds.
 const (
 	NodeRoot         NodeKind = "root"
 	NodeOrganisation NodeKind = "organisation"
@@ -30,14 +30,13 @@
 	NodeService      NodeKind = "service"
 )
 
-// Depths at which a node is an organisation or a team when it does not say
-// otherwise by the key "node". Deeper nodes are client accounts.
+// Depths at which a node is an organisation or a team, unless it sets the key
+// "node". Deeper nodes are client accounts.
 const (
 	organisationDepth = 1
 	teamDepth         = 2
 )
 
-// segmentPattern is what one segment of a path looks like.
 var segmentPattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
 
 const segmentRule = "segments of letters, digits, '.', '_' and '-', at most 64 long, joined by '/'"
@@ -85,11 +84,10 @@
 	return len(other) > len(p) && other[len(p)] == separator[0] && other[:len(p)] == p
 }
 
-// rebase returns the path that p has after its ancestor from has moved to to.
+// rebase returns the path of p after its ancestor from has moved to to.
 func (p Path) rebase(from, to Path) Path {
 	return to + p[len(from):]
 }
 
-// isService reports whether the path lies in the part of the tree that holds
-// the services.
-func (p Path) isService() bool { return ServicesPath.Contains(p) }
+// inServices reports whether the path is ServicesPath or below it.
+func (p Path) inServices() bool { return ServicesPath.Contains(p) }
--- a/internal/settings/policy.go
+++ b/internal/settings/policy.go
@@ -9,79 +9,78 @@
 // KeyHash is the SHA-256 of an API key; the key itself is never stored.
 type KeyHash [32]byte
 
-// SharePolicy tells who decides which client account is served next.
+// SharePolicy determines who decides which client account is served next.
 type SharePolicy string
 
-// The share policies. Fleet is the product; the others are baselines to
-// measure it against.
+// The share policies. ShareFleet is for production; the others are baselines to
+// compare it with.
 const (
-	ShareFleet       SharePolicy = "fleet"        // agents, by fleet clocks
-	ShareAgentLocal  SharePolicy = "agent-local"  // agents, by their own charges alone
-	ShareRouterLocal SharePolicy = "router-local" // routers, by their own charges alone
+	ShareFleet       SharePolicy = "fleet"        // agents, by fleet-wide virtual clocks
+	ShareAgentLocal  SharePolicy = "agent-local"  // agents, each by its own charges only
+	ShareRouterLocal SharePolicy = "router-local" // routers, each by its own charges only
 )
 
-// ServiceKind tells how a service's backend servers are spoken to.
+// ServiceKind determines the protocol of a service's backend servers.
 type ServiceKind string
 
-// The kinds of service.
+// The service kinds.
 const (
-	KindModel ServiceKind = "model" // a model engine with streams that resume
+	KindModel ServiceKind = "model" // model engines with resumable streams
 	KindPlain ServiceKind = "plain" // any other HTTP service
 )
 
-// AccountPolicy is what the tree says of one client account, with all
-// inherited values resolved.
+// AccountPolicy is the policy of a client account, with all inherited values
+// resolved.
 type AccountPolicy struct {
 	Account         fleet.Account
-	Weight          float64       // share relative to other accounts, above 0
+	Weight          float64       // share relative to other accounts, greater than 0
 	QueueRequests   int           // waiting requests per router
 	QueueBytes      int64         // bytes of waiting requests per router
-	RateLimit       float64       // requests a second per router; 0 is no limit
-	DefaultDeadline time.Duration // when the caller names none
-	MaxDeadline     time.Duration // a longer one is cut to this
+	RateLimit       float64       // requests per second per router; 0 means no limit
+	DefaultDeadline time.Duration // of a request without a deadline
+	MaxDeadline     time.Duration // longer deadlines are reduced to it
 	RetryBudget     float64       // retries per request, as a long-run ratio
-	Disabled        bool          // its calls are refused
+	Disabled        bool          // its calls are rejected
 }
 
-// ServicePolicy is what the tree says of one service, with all inherited
-// values resolved.
+// ServicePolicy is the policy of a service, with all inherited values resolved.
 type ServicePolicy struct {
 	Service           fleet.Service
 	Kind              ServiceKind
 	Share             SharePolicy
-	Idempotent        bool    // calls may be repeated unless the caller says otherwise
-	Slots             int     // per backend server; 0 takes what the server reports
+	Idempotent        bool    // calls may be retried unless the caller specifies otherwise
+	Slots             int     // per backend server; 0 uses the number that the server reports
 	PromptCost        float64 // cost units per prompt token
 	TokenCost         float64 // cost units per generated token
 	MillisecondCost   float64 // cost units per millisecond of a plain call
 	DefaultDeadline   time.Duration
 	MaxRequestBytes   int64
 	MaxAnswerBytes    int64
-	AnswerRetention   time.Duration // how long an agent keeps an answer that nobody acknowledges
-	RepaymentWindow   float64       // cost units of an account of the mean weight around the fleet's virtual time
+	AnswerRetention   time.Duration // how long an agent keeps an unacknowledged answer
+	RepaymentWindow   float64       // maximum distance from the fleet's virtual time, in cost units of an account of mean weight
 	ReportInterval    time.Duration // between an agent's tally reports
 	Homes             int           // home agents per service
-	OfferSubset       int           // agents that a router offers to at first
+	OfferSubset       int           // agents that a router first offers a request to
 	WidenInterval     time.Duration // after which a router doubles its subset
-	GrantLease        time.Duration // after which an unused grant lapses
-	SilenceTimeout    time.Duration // without a frame, a connection is given up
+	GrantLease        time.Duration // after which an unused grant expires
+	SilenceTimeout    time.Duration // after which a connection without frames is considered failed
 	HeartbeatInterval time.Duration // between frames of an answer that makes no progress
 }
 
-// View is the tree at one revision, resolved for the routers and agents. It
-// is immutable and safe for concurrent use.
+// View is the resolved settings at one revision, as routers and agents use them.
+// It is immutable and safe for concurrent use.
 type View interface {
-	// Revision counts the accepted edits.
+	// Revision returns the number of accepted edits.
 	Revision() uint64
 	// Account returns the policy of a client account.
 	Account(account fleet.Account) (AccountPolicy, bool)
-	// AccountByKey returns the client account that owns an API key. The time
-	// it takes does not depend on how much of a hash matches.
+	// AccountByKey returns the client account that owns an API key. It takes
+	// the same time however many bytes of a hash match.
 	AccountByKey(hash KeyHash) (fleet.Account, bool)
-	// Accounts lists all client accounts in order.
+	// Accounts lists all client accounts in sorted order.
 	Accounts() []fleet.Account
 	// Service returns the policy of a service.
 	Service(service fleet.Service) (ServicePolicy, bool)
-	// Services lists all services in order.
+	// Services lists all services in sorted order.
 	Services() []fleet.Service
 }
--- a/internal/settings/propose.go
+++ b/internal/settings/propose.go
@@ -9,15 +9,16 @@
 	"github.com/bluebellchute/bluebellchute/internal/platform"
 )
 
-// proposal is what would be the settings after an edit. All objects that its
-// head refers to have been written.
+// proposal is an edit that is ready to be committed. All objects that its head
+// refers to have been written.
 type proposal struct {
-	record  Record
-	head    []byte
-	written []object
+	record Record
+	head   []byte
+	chunks []object
 }
 
-// propose applies the edit to the base and writes what the new head refers to.
+// propose applies the edit to the base and writes the objects that the new head
+// refers to.
 func (s *submission) propose(ctx context.Context, base Snapshot) (*proposal, error) {
 	tree, changes, err := base.Tree.Apply(s.edit.Changes)
 	if err != nil {
@@ -55,9 +56,9 @@
 		return nil, err
 	}
 	if len(data) > platform.MaxObjectBytes {
-		return nil, errors.Errorf("the head would have %d bytes, more than %d", len(data), platform.MaxObjectBytes)
+		return nil, errors.Errorf("the head would have %d bytes, more than the maximum of %d", len(data), platform.MaxObjectBytes)
 	}
-	return &proposal{record: record, head: data, written: objects}, nil
+	return &proposal{record: record, head: data, chunks: objects}, nil
 }
 
 func checkSize(record Record) error {
@@ -66,14 +67,14 @@
 		return err
 	}
 	if len(data) > maxEditBytes {
-		return errors.Errorf("the edit has %d bytes after compression, more than %d: make it in several parts", len(data), maxEditBytes)
+		return errors.Errorf("the edit has %d bytes after compression, more than the maximum of %d; split it into several edits", len(data), maxEditBytes)
 	}
 	return nil
 }
 
 // writeChunks writes the chunk objects. One that exists already was written by
-// an attempt whose reply was lost; a content that differs all the same must not
-// become part of the tree.
+// an attempt whose reply was lost. If its content differs nevertheless, it must
+// not become part of the tree.
 func (s *submission) writeChunks(ctx context.Context, objects []object) error {
 	for _, object := range objects {
 		existed, err := s.reader.create(ctx, object.key, object.data)
@@ -88,7 +89,7 @@
 			return err
 		}
 		if xxhash.Sum64(found.Data) != xxhash.Sum64(object.data) {
-			return errors.Errorf("%s: there is another object under the key", object.key)
+			return errors.Errorf("%s: an object with other content exists under the key", object.key)
 		}
 	}
 	return nil
--- a/internal/settings/reader.go
+++ b/internal/settings/reader.go
@@ -9,30 +9,30 @@
 	"github.com/bluebellchute/bluebellchute/internal/platform"
 )
 
-// errStale tells that a read gave less than what is known to exist.
-var errStale = errors.New("the platform gave an old state of the settings")
+// errStale means that a read returned an older state than is known to exist.
+var errStale = errors.New("the platform returned a stale state of the settings")
 
 // Reader reads the settings from the platform. It is not safe for concurrent
 // use.
 type Reader struct {
-	calls
-	limits limits
-	chunks map[string][]chunkNode // by key; chunk objects never change
+	retryingClient
+	limits     limits
+	chunkCache map[string][]chunkNode // by key; chunk objects never change
 }
 
-// NewReader returns a reader of the platform's settings.
+// NewReader returns a reader of the settings on the platform.
 func NewReader(api platform.API, retry RetryPolicy) *Reader {
-	return &Reader{calls: calls{api: api, retry: retry}, limits: defaultLimits, chunks: make(map[string][]chunkNode)}
+	return &Reader{retryingClient: retryingClient{api: api, retry: retry}, limits: defaultLimits, chunkCache: make(map[string][]chunkNode)}
 }
 
-// ReadHead reads the head object. A version below atLeast is known to be old:
-// the read is repeated, since a decision on an old state would be refused later
-// or, worse, report an accepted edit as absent. Without a head object it
-// returns the head of revision 0 and version 0.
-func (r *Reader) ReadHead(ctx context.Context, atLeast platform.Version) (*Head, platform.Version, error) {
+// ReadHead reads the head object. If the version is below minVersion, the read is
+// stale and is retried: a decision based on it would be rejected later or, worse,
+// report an accepted edit as absent. If there is no head object, ReadHead returns
+// the head of revision 0 and version 0.
+func (r *Reader) ReadHead(ctx context.Context, minVersion platform.Version) (*Head, platform.Version, error) {
 	var head *Head
 	var version platform.Version
-	err := r.repeatCall(ctx, func(ctx context.Context) (bool, error) {
+	err := r.retryCall(ctx, func(ctx context.Context) (bool, error) {
 		found, err := r.api.Get(ctx, HeadKey)
 		if errors.Is(err, platform.ErrNotFound) {
 			found, err = platform.Object{}, nil
@@ -40,7 +40,7 @@
 		if err != nil {
 			return false, err
 		}
-		if found.Version < atLeast {
+		if found.Version < minVersion {
 			return false, errStale
 		}
 		head, version = &Head{}, found.Version
@@ -55,20 +55,20 @@
 	return head, version, err
 }
 
-// Read reads the head and the whole tree.
-func (r *Reader) Read(ctx context.Context, atLeast platform.Version) (Snapshot, error) {
+// Read reads the head and the complete tree.
+func (r *Reader) Read(ctx context.Context, minVersion platform.Version) (Snapshot, error) {
 	var snapshot Snapshot
-	err := r.repeat(ctx, func() (bool, error) {
-		return r.readOnce(ctx, atLeast, &snapshot)
+	err := r.retryLoop(ctx, func() (bool, error) {
+		return r.readOnce(ctx, minVersion, &snapshot)
 	})
 	return snapshot, err
 }
 
-// readOnce reads the tree of one head. A chunk that is not found was removed
-// after a newer edit replaced it, or the read was out of date; either way
-// another read of the head helps.
-func (r *Reader) readOnce(ctx context.Context, atLeast platform.Version, snapshot *Snapshot) (bool, error) {
-	head, version, err := r.ReadHead(ctx, atLeast)
+// readOnce reads a head and its tree. If a chunk is missing, either it was
+// deleted after a newer edit replaced it or the read was stale; in both cases the
+// caller has to read the head again.
+func (r *Reader) readOnce(ctx context.Context, minVersion platform.Version, snapshot *Snapshot) (bool, error) {
+	head, version, err := r.ReadHead(ctx, minVersion)
 	if err != nil {
 		return true, err
 	}
@@ -82,7 +82,7 @@
 
 func (r *Reader) readTree(ctx context.Context, head *Head) (*Tree, error) {
 	tree := NewTree().WithRevision(head.Revision)
-	kept := make(map[string][]chunkNode, len(head.Chunks))
+	cached := make(map[string][]chunkNode, len(head.Chunks))
 	for _, ref := range head.Chunks {
 		if ref.Key == "" {
 			continue
@@ -91,25 +91,25 @@
 		if err != nil {
 			return nil, err
 		}
-		kept[ref.Key] = nodes
+		cached[ref.Key] = nodes
 		for _, entry := range nodes {
 			tree.nodes[entry.Path] = newNode(entry.Settings)
 		}
 	}
-	r.chunks = kept
+	r.chunkCache = cached
 	return tree, nil
 }
 
 func (r *Reader) readChunk(ctx context.Context, ref ChunkRef) ([]chunkNode, error) {
-	if nodes, ok := r.chunks[ref.Key]; ok {
+	if nodes, ok := r.chunkCache[ref.Key]; ok {
 		return nodes, nil
 	}
-	found, err := r.getOnce(ctx, ref.Key)
+	found, err := r.getIfPresent(ctx, ref.Key)
 	if err != nil {
 		return nil, err
 	}
 	if xxhash.Sum64(found.Data) != ref.Digest {
-		return nil, errors.Errorf("%s: the content is not the one that the head refers to", ref.Key)
+		return nil, errors.Errorf("%s: the content does not match the digest in the head", ref.Key)
 	}
 	var nodes []chunkNode
 	if err := decode(found.Data, &nodes); err != nil {
@@ -118,10 +118,11 @@
 	return nodes, nil
 }
 
-// getOnce reads an object that may have been removed: ErrNotFound is final.
-func (r *Reader) getOnce(ctx context.Context, key string) (platform.Object, error) {
+// getIfPresent reads an object that may have been deleted. It doesn't retry after
+// ErrNotFound.
+func (r *Reader) getIfPresent(ctx context.Context, key string) (platform.Object, error) {
 	var found platform.Object
-	err := r.repeatCall(ctx, func(ctx context.Context) (bool, error) {
+	err := r.retryCall(ctx, func(ctx context.Context) (bool, error) {
 		object, err := r.api.Get(ctx, key)
 		found = object
 		return errors.Is(err, platform.ErrNotFound), err
--- a/internal/settings/record.go
+++ b/internal/settings/record.go
@@ -14,11 +14,11 @@
 	"github.com/bluebellchute/bluebellchute/internal/platform"
 )
 
-// EditID identifies an edit over all attempts to have it accepted. It is a
-// UUIDv7, so it also tells when the edit was made.
+// EditID identifies an edit across all attempts to commit it. It is a UUIDv7, so
+// it also contains the time at which the edit was made.
 type EditID = uuid.UUID
 
-// Record is one accepted edit of the audit trail.
+// Record is an accepted edit in the audit trail.
 type Record struct {
 	ID       EditID    `json:"id"`
 	Revision uint64    `json:"revision"` // of the tree after the edit
@@ -28,19 +28,19 @@
 	Changes  []Change  `json:"changes"`
 }
 
-// maxDecodedBytes bounds what a compressed object may grow to. A broken object
-// must not take all memory of a node.
+// maxDecodedBytes bounds the size of a decompressed object, so that a corrupt one
+// cannot exhaust a node's memory.
 const maxDecodedBytes = 64 * platform.MaxObjectBytes
 
-// compressors keeps writers for reuse, since each one takes most of a megabyte.
-var compressors = sync.Pool{New: func() any { return gzip.NewWriter(nil) }}
+// gzipWriters pools writers for reuse, since each allocates almost a megabyte.
+var gzipWriters = sync.Pool{New: func() any { return gzip.NewWriter(nil) }}
 
-// encode writes an object of the settings: compressed JSON. Equal values give
-// equal bytes.
+// encode encodes a value as compressed JSON, the form in which the settings are
+// stored. Equal values give equal bytes.
 func encode(value any) ([]byte, error) {
 	var buffer bytes.Buffer
-	compressor := compressors.Get().(*gzip.Writer)
-	defer compressors.Put(compressor)
+	compressor := gzipWriters.Get().(*gzip.Writer)
+	defer gzipWriters.Put(compressor)
 	compressor.Reset(&buffer)
 	if err := json.NewEncoder(compressor).Encode(value); err != nil {
 		return nil, errors.WithStack(err)
@@ -51,15 +51,15 @@
 	return buffer.Bytes(), nil
 }
 
-// decode reads what encode wrote.
+// decode decodes the output of encode.
 func decode(data []byte, value any) error {
-	plain, err := gzip.NewReader(bytes.NewReader(data))
+	reader, err := gzip.NewReader(bytes.NewReader(data))
 	if err != nil {
-		return errors.Wrap(err, "object of the settings")
+		return errors.Wrap(err, "decoding a settings object")
 	}
-	text, err := io.ReadAll(io.LimitReader(plain, maxDecodedBytes))
+	text, err := io.ReadAll(io.LimitReader(reader, maxDecodedBytes))
 	if err != nil {
-		return errors.Wrap(err, "object of the settings")
+		return errors.Wrap(err, "decoding a settings object")
 	}
-	return errors.Wrap(json.Unmarshal(text, value), "object of the settings")
+	return errors.Wrap(json.Unmarshal(text, value), "decoding a settings object")
 }
--- a/internal/settings/registry.go
+++ b/internal/settings/registry.go
@@ -1,29 +1,29 @@
 package settings
 
-// Kinds of node that may set the keys of client accounts and of services. The
-// root may set both, for the whole fleet.
+// Node kinds that may set the keys of client accounts and of services. The root
+// may set both, for the whole fleet.
 var (
 	accountNodes = []NodeKind{NodeRoot, NodeOrganisation, NodeTeam, NodeAccount}
 	serviceNodes = []NodeKind{NodeRoot, NodeServices, NodeService}
 	allNodes     = []NodeKind{NodeRoot, NodeOrganisation, NodeTeam, NodeAccount, NodeServices, NodeService}
 )
 
-// Limits of the registry, in the keys' units.
+// Bounds of values, in the units of their keys; durations in seconds.
 const (
-	minWeight   = 0.001
-	maxWeight   = 1e6
-	maxCount    = 1e6
-	maxBytes    = 1 << 40
-	maxSeconds  = 24 * 3600
-	maxCost     = 1e9
-	tenMillis   = 0.01
-	aMilli      = 0.001
-	aMinute     = 60
-	smallCount  = 64
-	largestBody = 1 << 30
+	minWeight       = 0.001
+	maxWeight       = 1e6
+	maxCount        = 1e6
+	maxBytes        = 1 << 40
+	oneDay          = 24 * 3600
+	maxCost         = 1e9
+	tenMilliseconds = 0.01
+	oneMillisecond  = 0.001
+	oneMinute       = 60
+	maxHomes        = 64
+	maxBodyBytes    = 1 << 30
 )
 
-// registry lists all keys. A new key is added here and as a field of a policy.
+// registry lists all keys. To add a key, add it here and a field to a policy.
 var registry = []Key{
 	{
 		Name: KeyNode, Type: TypeChoice,
@@ -56,14 +56,14 @@
 		account: func(p *AccountPolicy) any { return &p.RateLimit },
 	},
 	{
-		Name: KeyDefaultDeadline, Type: TypeDuration, Default: "60s", Min: tenMillis, Max: maxSeconds,
+		Name: KeyDefaultDeadline, Type: TypeDuration, Default: "60s", Min: tenMilliseconds, Max: oneDay,
 		NodeKinds: allNodes, Inherited: true,
 		Doc:     "Deadline of a request whose caller names none.",
 		account: func(p *AccountPolicy) any { return &p.DefaultDeadline },
 		service: func(p *ServicePolicy) any { return &p.DefaultDeadline },
 	},
 	{
-		Name: KeyMaxDeadline, Type: TypeDuration, Default: "30m", Min: tenMillis, Max: maxSeconds,
+		Name: KeyMaxDeadline, Type: TypeDuration, Default: "30m", Min: tenMilliseconds, Max: oneDay,
 		NodeKinds: accountNodes, Inherited: true,
 		Doc:     "Longest deadline; a longer one is cut to it.",
 		account: func(p *AccountPolicy) any { return &p.MaxDeadline },
@@ -129,19 +129,19 @@
 		service: func(p *ServicePolicy) any { return &p.MillisecondCost },
 	},
 	{
-		Name: "max_request_bytes", Type: TypeBytes, Unit: "bytes", Default: "4MiB", Min: 1, Max: largestBody,
+		Name: "max_request_bytes", Type: TypeBytes, Unit: "bytes", Default: "4MiB", Min: 1, Max: maxBodyBytes,
 		NodeKinds: serviceNodes, Inherited: true,
 		Doc:     "Largest body of a request.",
 		service: func(p *ServicePolicy) any { return &p.MaxRequestBytes },
 	},
 	{
-		Name: "max_answer_bytes", Type: TypeBytes, Unit: "bytes", Default: "16MiB", Min: 1, Max: largestBody,
+		Name: "max_answer_bytes", Type: TypeBytes, Unit: "bytes", Default: "16MiB", Min: 1, Max: maxBodyBytes,
 		NodeKinds: serviceNodes, Inherited: true,
 		Doc:     "Largest body of an answer.",
 		service: func(p *ServicePolicy) any { return &p.MaxAnswerBytes },
 	},
 	{
-		Name: "answer_retention", Type: TypeDuration, Default: "60s", Min: 1, Max: maxSeconds,
+		Name: "answer_retention", Type: TypeDuration, Default: "60s", Min: 1, Max: oneDay,
 		NodeKinds: serviceNodes, Inherited: true,
 		Doc:     "How long an agent keeps an answer that nobody acknowledges.",
 		service: func(p *ServicePolicy) any { return &p.AnswerRetention },
@@ -153,13 +153,13 @@
 		service: func(p *ServicePolicy) any { return &p.RepaymentWindow },
 	},
 	{
-		Name: "report_interval", Type: TypeDuration, Default: "1s", Min: tenMillis, Max: aMinute,
+		Name: "report_interval", Type: TypeDuration, Default: "1s", Min: tenMilliseconds, Max: oneMinute,
 		NodeKinds: serviceNodes, Inherited: true,
 		Doc:     "Time between an agent's tally reports; longer in a service of more than 60 agents.",
 		service: func(p *ServicePolicy) any { return &p.ReportInterval },
 	},
 	{
-		Name: "homes", Type: TypeInteger, Unit: "agents", Default: "3", Min: 1, Max: smallCount,
+		Name: "homes", Type: TypeInteger, Unit: "agents", Default: "3", Min: 1, Max: maxHomes,
 		NodeKinds: serviceNodes, Inherited: true,
 		Doc:     "Home agents of the service, which add up the charges.",
 		service: func(p *ServicePolicy) any { return &p.Homes },
@@ -171,25 +171,25 @@
 		service: func(p *ServicePolicy) any { return &p.OfferSubset },
 	},
 	{
-		Name: "widen_interval", Type: TypeDuration, Default: "100ms", Min: aMilli, Max: aMinute,
+		Name: "widen_interval", Type: TypeDuration, Default: "100ms", Min: oneMillisecond, Max: oneMinute,
 		NodeKinds: serviceNodes, Inherited: true,
 		Doc:     "Time after which a router doubles its subset of agents while requests wait.",
 		service: func(p *ServicePolicy) any { return &p.WidenInterval },
 	},
 	{
-		Name: "grant_lease", Type: TypeDuration, Default: "500ms", Min: tenMillis, Max: aMinute,
+		Name: "grant_lease", Type: TypeDuration, Default: "500ms", Min: tenMilliseconds, Max: oneMinute,
 		NodeKinds: serviceNodes, Inherited: true,
 		Doc:     "Time after which an unused grant lapses.",
 		service: func(p *ServicePolicy) any { return &p.GrantLease },
 	},
 	{
-		Name: KeySilenceTimeout, Type: TypeDuration, Default: "1200ms", Min: tenMillis, Max: aMinute,
+		Name: KeySilenceTimeout, Type: TypeDuration, Default: "1200ms", Min: tenMilliseconds, Max: oneMinute,
 		NodeKinds: serviceNodes, Inherited: true,
 		Doc:     "Time without a frame after which a connection is given up.",
 		service: func(p *ServicePolicy) any { return &p.SilenceTimeout },
 	},
 	{
-		Name: KeyHeartbeatInterval, Type: TypeDuration, Default: "400ms", Min: aMilli, Max: aMinute,
+		Name: KeyHeartbeatInterval, Type: TypeDuration, Default: "400ms", Min: oneMillisecond, Max: oneMinute,
 		NodeKinds: serviceNodes, Inherited: true,
 		Doc:     "Time between frames of an answer that makes no progress.",
 		service: func(p *ServicePolicy) any { return &p.HeartbeatInterval },
--- a/internal/settings/tree.go
+++ b/internal/settings/tree.go
@@ -6,14 +6,14 @@
 	"slices"
 )
 
-// Setting is one value that a node sets itself.
+// Setting is a node's own value of a key.
 type Setting struct {
 	Key   KeyName `json:"key"`
 	Value string  `json:"value"`
 }
 
-// node is one node of a tree with what it sets itself, in registry order. It
-// is immutable.
+// node is a node of a tree with its own values in registry order. It is
+// immutable.
 type node struct {
 	settings []Setting
 }
@@ -28,7 +28,7 @@
 	return "", false
 }
 
-// with returns the node with a key set.
+// with returns a copy of the node with a key set.
 func (n *node) with(key KeyName, value string) *node {
 	next := n.without(key)
 	next.settings = append(next.settings, Setting{Key: key, Value: value})
@@ -36,7 +36,7 @@
 	return next
 }
 
-// without returns the node with a key unset.
+// without returns a copy of the node with a key unset.
 func (n *node) without(key KeyName) *node {
 	next := &node{settings: make([]Setting, 0, len(n.settings)+1)}
 	for _, setting := range n.settings {
@@ -48,34 +48,34 @@
 }
 
 func newNode(settings []Setting) *node {
-	own := slices.Clone(settings)
-	sortSettings(own)
-	return &node{settings: own}
+	sorted := slices.Clone(settings)
+	sortSettings(sorted)
+	return &node{settings: sorted}
 }
 
 func sortSettings(settings []Setting) {
 	slices.SortFunc(settings, func(a, b Setting) int {
-		return cmp.Or(cmp.Compare(a.Key.order(), b.Key.order()), cmp.Compare(a.Key, b.Key))
+		return cmp.Or(cmp.Compare(a.Key.registryPosition(), b.Key.registryPosition()), cmp.Compare(a.Key, b.Key))
 	})
 }
 
-// Tree is the settings at one revision. It is immutable: Apply returns a new
-// tree that shares all unchanged nodes.
+// Tree is the settings at one revision. It is immutable: Apply returns a new tree
+// that shares all unchanged nodes with the old one.
 type Tree struct {
 	revision uint64
 	nodes    map[Path]*node
 }
 
-// NewTree returns the tree of revision 0, which has only the root and the node
-// of the services.
+// NewTree returns the tree at revision 0, which consists of the root and
+// ServicesPath.
 func NewTree() *Tree {
 	return &Tree{nodes: map[Path]*node{Root: {}, ServicesPath: {}}}
 }
 
-// Revision counts the accepted edits that led to the tree.
+// Revision returns the number of accepted edits that led to the tree.
 func (t *Tree) Revision() uint64 { return t.revision }
 
-// WithRevision returns the same tree under another revision.
+// WithRevision returns the same tree with another revision.
 func (t *Tree) WithRevision(revision uint64) *Tree {
 	return &Tree{revision: revision, nodes: t.nodes}
 }
@@ -86,7 +86,7 @@
 	return ok
 }
 
-// Get returns a node's own value of a key, without what it inherits.
+// Get returns a node's own value of a key, not an inherited one.
 func (t *Tree) Get(path Path, key KeyName) (string, bool) {
 	found, ok := t.nodes[path]
 	if !ok {
@@ -95,7 +95,7 @@
 	return found.get(key)
 }
 
-// Settings returns what a node sets itself, in registry order.
+// Settings returns a node's own values in registry order.
 func (t *Tree) Settings(path Path) []Setting {
 	found, ok := t.nodes[path]
 	if !ok {
@@ -104,7 +104,7 @@
 	return slices.Clone(found.settings)
 }
 
-// Paths lists all nodes: the root first, then in the order of their paths.
+// Paths lists all nodes: the root first, the others sorted by path.
 func (t *Tree) Paths() []Path {
 	return slices.SortedFunc(maps.Keys(t.nodes), comparePaths)
 }
@@ -128,15 +128,15 @@
 	return inside
 }
 
-// Kind tells what a node stands for. It depends on the path and on the node's
-// own key "node" only.
+// Kind returns the kind of a node. It depends only on the path and on the node's
+// own value of KeyNode.
 func (t *Tree) Kind(path Path) NodeKind {
 	switch {
 	case path == Root:
 		return NodeRoot
 	case path == ServicesPath:
 		return NodeServices
-	case path.isService():
+	case path.inServices():
 		return NodeService
 	}
 	if kind, ok := t.Get(path, KeyNode); ok {
@@ -152,8 +152,8 @@
 	}
 }
 
-// Equal reports whether two trees hold the same nodes and values; revisions
-// are not compared.
+// Equal reports whether two trees have the same nodes and values. It ignores the
+// revisions.
 func (t *Tree) Equal(other *Tree) bool {
 	return maps.EqualFunc(t.nodes, other.nodes, func(a, b *node) bool {
 		return a == b || slices.Equal(a.settings, b.settings)
--- a/internal/settings/tree_test.go
+++ b/internal/settings/tree_test.go
@@ -13,8 +13,8 @@
 	"github.com/bluebellchute/bluebellchute/internal/fleet"
 )
 
-// TestTree runs the files in testdata: inheritance, override, edits and
-// mistakes.
+// TestTree runs the files in testdata, which cover inheritance, overrides, edits
+// and mistakes.
 func TestTree(t *testing.T) {
 	datadriven.Walk(t, "testdata/tree", func(t *testing.T, file string) {
 		tree := NewTree()
@@ -36,7 +36,7 @@
 					return err.Error() + "\n"
 				}
 				tree = next
-				return describe(done)
+				return formatChanges(done)
 			case "export":
 				return string(FormatINI(tree))
 			case "account":
@@ -58,7 +58,7 @@
 	})
 }
 
-// parseChanges reads one change a line: op path [key] [value or target].
+// parseChanges parses one change per line: op path [key] [value or target].
 func parseChanges(text string) []Change {
 	var changes []Change
 	for _, line := range strings.Split(strings.TrimSpace(text), "\n") {
@@ -75,7 +75,7 @@
 	return changes
 }
 
-func describe(changes []Change) string {
+func formatChanges(changes []Change) string {
 	var text strings.Builder
 	for _, change := range changes {
 		fmt.Fprintf(&text, "%+v\n", change)
@@ -86,31 +86,31 @@
 	return text.String()
 }
 
-func TestRegistryIsWhole(t *testing.T) {
+func TestRegistryIsComplete(t *testing.T) {
 	var account AccountPolicy
 	var service ServicePolicy
 	fields := make(map[any]KeyName)
 	for _, key := range Keys() {
 		if key.Doc == "" || len(key.NodeKinds) == 0 {
-			t.Errorf("%s: no description or no kind of node", key.Name)
+			t.Errorf("%s: no description or no node kind", key.Name)
 		}
 		if key.Default != "" && key.Check(key.Default) != nil {
 			t.Errorf("%s: the default %q is not allowed", key.Name, key.Default)
 		}
 		if key.account != nil {
 			fields[key.account(&account)] = key.Name
-			if err := store(key.Default, key.account(&account)); err != nil {
+			if err := parseInto(key.Default, key.account(&account)); err != nil {
 				t.Errorf("%s: %v", key.Name, err)
 			}
 		}
 		if key.service != nil {
 			fields[key.service(&service)] = key.Name
-			if err := store(key.Default, key.service(&service)); err != nil {
+			if err := parseInto(key.Default, key.service(&service)); err != nil {
 				t.Errorf("%s: %v", key.Name, err)
 			}
 		}
 	}
-	// One field of each policy is its name; every other one needs a key.
+	// One field of each policy is its name; every other field needs a key.
 	want := reflect.TypeFor[AccountPolicy]().NumField() + reflect.TypeFor[ServicePolicy]().NumField() - 2
 	if len(fields) != want {
 		t.Errorf("%d fields of the policies have a key, want %d", len(fields), want)
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestTextFormRoundTrip(t *testing.T) {
+func TestINIRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tree := drawTree(t)
 		text := FormatINI(tree)
@@ -134,7 +134,7 @@
 	})
 }
 
-func TestDiffLeadsToTheOtherTree(t *testing.T) {
+func TestDiffReproducesTree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := drawTree(t), drawTree(t)
 		got, _, err := from.Apply(Diff(from, to))
@@ -147,17 +147,17 @@
 	})
 }
 
-// TestViewFollowsEdits proves that a view brought up to date edit by edit says
-// the same as one resolved from the whole tree.
-func TestViewFollowsEdits(t *testing.T) {
+// TestIncrementalViewMatchesFullView checks that a view updated edit by edit equals
+// one resolved from the complete tree.
+func TestIncrementalViewMatchesFullView(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tree, _, err := drawTree(t).Apply(nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for place, account := range []Path{"acme/labs/alice", "acme/labs/bob", "acme/shop/carol", "umbra/x/dan"} {
+		for i, account := range []Path{"acme/labs/alice", "acme/labs/bob", "acme/shop/carol", "umbra/x/dan"} {
 			tree.ensureParents(account)
-			tree.nodes[account] = newNode([]Setting{{KeyAPIKey, hashText(place + 1)}})
+			tree.nodes[account] = newNode([]Setting{{KeyAPIKey, hashText(i + 1)}})
 		}
 		view := newView(tree)
 		for range rapid.IntRange(1, 8).Draw(t, "edits") {
@@ -167,7 +167,7 @@
 				continue
 			}
 			tree = next
-			view = view.next(tree, touchedPaths(done))
+			view = view.withChanges(tree, touchedPaths(done))
 			requireSameView(t, view, newView(tree))
 		}
 	})
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -4,25 +4,26 @@
 	"github.com/samber/lo"
 )
 
-// Validate checks the whole tree and returns a ValidationError that lists all
-// mistakes, or nil.
+// Validate checks the tree and returns a ValidationError with all mistakes, or
+// nil.
 func (t *Tree) Validate() error { return asError(t.mistakes()) }
 
 func (t *Tree) mistakes() []Mistake {
 	paths := t.Paths()
 	var mistakes []Mistake
 	for _, path := range paths {
-		mistakes = append(mistakes, t.checkPlace(path)...)
+		mistakes = append(mistakes, t.checkParent(path)...)
 		mistakes = append(mistakes, t.checkValues(path)...)
 	}
 	if len(mistakes) == 0 {
-		mistakes = t.checkResolved(paths)
+		mistakes = t.checkEffectiveValues(paths)
 	}
 	return append(mistakes, t.checkKeyOwners(paths)...)
 }
 
-// checkPlace checks that a node may stand where it does.
-func (t *Tree) checkPlace(path Path) []Mistake {
+// checkParent checks that the parent of a node exists and may have a child of its
+// kind.
+func (t *Tree) checkParent(path Path) []Mistake {
 	if !path.Valid() {
 		return []Mistake{{Path: path, Problem: "not a path", Allowed: segmentRule}}
 	}
@@ -33,18 +34,18 @@
 	if !t.Has(parent) {
 		return []Mistake{{Path: path, Problem: "the node above it is missing"}}
 	}
-	kind, above := t.Kind(path), t.Kind(parent)
-	if lo.Contains(parentKinds[kind], above) {
+	kind, parentKind := t.Kind(path), t.Kind(parent)
+	if lo.Contains(parentKinds[kind], parentKind) {
 		return nil
 	}
 	return []Mistake{{
 		Path: path, Key: KeyNode, Value: string(kind),
-		Problem: "the node above it is of the kind " + string(above),
+		Problem: "the node above it is of the kind " + string(parentKind),
 		Allowed: "below " + lo.Reduce(parentKinds[kind], joinKinds, ""),
 	}}
 }
 
-// parentKinds tells below which kinds of node a kind may stand.
+// parentKinds lists the allowed kinds of the parent for each kind of node.
 var parentKinds = map[NodeKind][]NodeKind{
 	NodeOrganisation: {NodeRoot},
 	NodeTeam:         {NodeOrganisation, NodeTeam},
@@ -53,14 +54,14 @@
 	NodeService:      {NodeServices},
 }
 
-func joinKinds(text string, kind NodeKind, place int) string {
-	if place > 0 {
+func joinKinds(text string, kind NodeKind, index int) string {
+	if index > 0 {
 		text += ", "
 	}
 	return text + string(kind)
 }
 
-// checkValues checks each value that a node sets itself.
+// checkValues checks each of a node's own values.
 func (t *Tree) checkValues(path Path) []Mistake {
 	kind := t.Kind(path)
 	var mistakes []Mistake
@@ -73,7 +74,7 @@
 		case setting.Key != KeyNode && !key.AllowedAt(kind):
 			mistake.Problem = "the key does not apply to a node of the kind " + string(kind)
 			mistake.Allowed = "at " + lo.Reduce(key.NodeKinds, joinKinds, "")
-		case setting.Key == KeyNode && path.Depth() == 0, setting.Key == KeyNode && path.isService():
+		case setting.Key == KeyNode && path.Depth() == 0, setting.Key == KeyNode && path.inServices():
 			mistake.Problem = "the kind of this node is fixed"
 		case key.Check(setting.Value) != nil:
 			mistake.Problem = "the value is not allowed"
@@ -86,18 +87,17 @@
 	return mistakes
 }
 
-// checkResolved checks values against each other where both are in force. A
-// contradiction is reported at the node that brings it about, not at each node
-// below.
-func (t *Tree) checkResolved(paths []Path) []Mistake {
+// checkEffectiveValues checks effective values that depend on each other. A
+// contradiction is reported at the node that causes it, not at each node below.
+func (t *Tree) checkEffectiveValues(paths []Path) []Mistake {
 	var mistakes []Mistake
 	resolved := newResolver(t)
 	for _, path := range paths {
-		if t.setsAny(path, KeyDefaultDeadline, KeyMaxDeadline) && !path.isService() {
+		if t.setsAny(path, KeyDefaultDeadline, KeyMaxDeadline) && !path.inServices() {
 			mistakes = append(mistakes, checkDeadlines(path, resolved.account(path))...)
 		}
 		if t.setsAny(path, KeyHeartbeatInterval, KeySilenceTimeout) {
-			mistakes = append(mistakes, checkSilence(path, resolved.service(path))...)
+			mistakes = append(mistakes, checkHeartbeat(path, resolved.service(path))...)
 		}
 	}
 	return mistakes
@@ -121,7 +121,7 @@
 	}}
 }
 
-func checkSilence(path Path, policy ServicePolicy) []Mistake {
+func checkHeartbeat(path Path, policy ServicePolicy) []Mistake {
 	if policy.HeartbeatInterval < policy.SilenceTimeout {
 		return nil
 	}
@@ -132,15 +132,15 @@
 	}}
 }
 
-// checkKeyOwners refuses an API key that belongs to two client accounts: it
-// would bill one account for the other's calls.
+// checkKeyOwners rejects an API key that belongs to two client accounts, since one
+// account would be billed for the other's calls.
 func (t *Tree) checkKeyOwners(paths []Path) []Mistake {
 	owners := make(map[KeyHash]Path)
 	var mistakes []Mistake
 	for _, path := range paths {
 		for _, hash := range t.keyHashes(path) {
-			owner, taken := owners[hash]
-			if taken {
+			owner, duplicate := owners[hash]
+			if duplicate {
 				mistakes = append(mistakes, Mistake{
 					Path: path, Key: KeyAPIKey, Value: FormatKeyHashes([]KeyHash{hash}),
 					Problem: "the API key is listed already at " + string(owner),
@@ -153,7 +153,7 @@
 	return mistakes
 }
 
-// keyHashes returns the API key hashes of a node; unreadable ones are left out.
+// keyHashes returns the API key hashes of a node, or nil if they are invalid.
 func (t *Tree) keyHashes(path Path) []KeyHash {
 	text, ok := t.Get(path, KeyAPIKey)
 	if !ok {
--- a/internal/settings/value.go
+++ b/internal/settings/value.go
@@ -11,10 +11,10 @@
 	"github.com/pkg/errors"
 )
 
-// errNotAllowed tells that a value is outside of what its key allows.
+// errNotAllowed means that a key does not allow a value.
 var errNotAllowed = errors.New("value not allowed")
 
-// byteUnits are the suffixes of TypeBytes, the longest factor first.
+// byteUnits lists the suffixes of TypeBytes, largest factor first.
 var byteUnits = []struct {
 	suffix string
 	factor int64
@@ -24,7 +24,7 @@
 	{"KiB", 1 << 10},
 }
 
-// Check returns an error when text is not a value that the key allows.
+// Check returns an error if the key does not allow the value.
 func (k Key) Check(text string) error {
 	switch k.Type {
 	case TypeChoice:
@@ -48,14 +48,14 @@
 	if err != nil {
 		return err
 	}
-	// The negated form also refuses NaN, which compares false to all.
+	// The negated condition also rejects NaN, which fails every comparison.
 	if !(number >= k.Min && number <= k.Max) {
 		return errNotAllowed
 	}
 	return nil
 }
 
-// parseNumber reads a numeric value; durations are in seconds.
+// parseNumber parses a numeric value, a duration in seconds.
 func (k Key) parseNumber(text string) (float64, error) {
 	switch k.Type {
 	case TypeDuration:
@@ -72,31 +72,31 @@
 	}
 }
 
-// store reads text into the field that target points to. The field is left as
-// it is when the text cannot be read.
-func store(text string, target any) error {
+// parseInto parses text into the field that target points to. If the text cannot
+// be parsed, the field is unchanged.
+func parseInto(text string, target any) error {
 	switch field := target.(type) {
 	case *float64:
-		return assign(field, text, func(s string) (float64, error) { return strconv.ParseFloat(s, 64) })
+		return parseField(field, text, func(s string) (float64, error) { return strconv.ParseFloat(s, 64) })
 	case *int:
-		return assign(field, text, strconv.Atoi)
+		return parseField(field, text, strconv.Atoi)
 	case *int64:
-		return assign(field, text, parseBytes)
+		return parseField(field, text, parseBytes)
 	case *bool:
-		return assign(field, text, parseBoolean)
+		return parseField(field, text, parseBoolean)
 	case *time.Duration:
-		return assign(field, text, time.ParseDuration)
+		return parseField(field, text, time.ParseDuration)
 	case *ServiceKind:
 		*field = ServiceKind(text)
 	case *SharePolicy:
 		*field = SharePolicy(text)
 	default:
-		return errors.Errorf("no reader for a field of type %T", target)
+		return errors.Errorf("no parser for a field of type %T", target)
 	}
 	return nil
 }
 
-func assign[V any](field *V, text string, parse func(string) (V, error)) error {
+func parseField[V any](field *V, text string, parse func(string) (V, error)) error {
 	value, err := parse(text)
 	if err != nil {
 		return errors.WithStack(err)
@@ -134,11 +134,11 @@
 	return count * factor, nil
 }
 
-// maxKeyHashes bounds the API keys of one client account. Each one costs every
-// node memory.
+// maxKeyHashes bounds the number of API keys of a client account, because every
+// node holds all of them in memory.
 const maxKeyHashes = 16
 
-// ParseKeyHashes reads a list of API key hashes.
+// ParseKeyHashes parses a comma-separated list of API key hashes.
 func ParseKeyHashes(text string) ([]KeyHash, error) {
 	var hashes []KeyHash
 	for _, part := range strings.Split(text, ",") {
@@ -154,7 +154,7 @@
 	return hashes, nil
 }
 
-// FormatKeyHashes writes a list of API key hashes as ParseKeyHashes reads it.
+// FormatKeyHashes formats a list of API key hashes for ParseKeyHashes.
 func FormatKeyHashes(hashes []KeyHash) string {
 	texts := make([]string, len(hashes))
 	for i, hash := range hashes {
--- a/internal/settings/view.go
+++ b/internal/settings/view.go
@@ -7,8 +7,8 @@
 	"github.com/bluebellchute/bluebellchute/internal/fleet"
 )
 
-// resolvedView is a View. A new one shares with the one before whatever an
-// edit left alone.
+// resolvedView implements View. A view after an edit shares all unchanged parts
+// with the previous one.
 type resolvedView struct {
 	tree         *Tree
 	accounts     map[fleet.Account]*AccountPolicy
@@ -20,7 +20,7 @@
 
 var _ View = (*resolvedView)(nil)
 
-// NewView resolves a whole tree.
+// NewView resolves a complete tree.
 func NewView(tree *Tree) View { return newView(tree) }
 
 func newView(tree *Tree) *resolvedView {
@@ -30,19 +30,19 @@
 		services: make(map[fleet.Service]*ServicePolicy),
 		keys:     newKeyIndex(),
 	}
-	return empty.next(tree, []Path{Root})
+	return empty.withChanges(tree, []Path{Root})
 }
 
-// next returns the view of a tree that differs from the present one only at
-// and below the touched paths. It costs one step for each node there, plus a
-// copy of the tables that change.
-func (v *resolvedView) next(tree *Tree, touched []Path) *resolvedView {
+// withChanges returns the view of a tree that differs from the current one only at
+// and below the touched paths. It takes one step for each node there, plus a
+// copy of the maps that change.
+func (v *resolvedView) withChanges(tree *Tree, touched []Path) *resolvedView {
 	view := *v
 	view.tree = tree
-	paths := affected(v.tree, tree, touched)
+	paths := affectedNodes(v.tree, tree, touched)
 	var accountPaths, servicePaths []Path
 	for _, path := range paths {
-		if path.isService() {
+		if path.inServices() {
 			servicePaths = append(servicePaths, path)
 			continue
 		}
@@ -50,16 +50,16 @@
 	}
 	resolved := newResolver(tree)
 	if len(accountPaths) > 0 {
-		view.nextAccounts(v, accountPaths, resolved)
+		view.updateAccounts(v, accountPaths, resolved)
 	}
 	if len(servicePaths) > 0 {
-		view.nextServices(v, servicePaths, resolved)
+		view.updateServices(v, servicePaths, resolved)
 	}
 	return &view
 }
 
-// affected lists the nodes of either tree at and below the touched paths.
-func affected(before, after *Tree, touched []Path) []Path {
+// affectedNodes lists the nodes of both trees at and below the touched paths.
+func affectedNodes(before, after *Tree, touched []Path) []Path {
 	set := make(map[Path]struct{})
 	for _, tree := range []*Tree{before, after} {
 		for path := range tree.nodes {
@@ -71,12 +71,12 @@
 	return slices.Collect(maps.Keys(set))
 }
 
-func (v *resolvedView) nextAccounts(before *resolvedView, paths []Path, resolved *resolver) {
-	v.accounts = maps.Clone(before.accounts)
-	v.keys = before.keys.clone()
+func (v *resolvedView) updateAccounts(previous *resolvedView, paths []Path, resolved *resolver) {
+	v.accounts = maps.Clone(previous.accounts)
+	v.keys = previous.keys.clone()
 	for _, path := range paths {
 		account := fleet.Account(path)
-		for _, hash := range before.tree.accountHashes(path) {
+		for _, hash := range previous.tree.accountHashes(path) {
 			v.keys.remove(hash, account)
 		}
 		delete(v.accounts, account)
@@ -93,11 +93,11 @@
 			v.keys.add(hash, account)
 		}
 	}
-	v.accountOrder = sameOrNew(before.accountOrder, v.accounts)
+	v.accountOrder = sortedNames(previous.accountOrder, v.accounts)
 }
 
-func (v *resolvedView) nextServices(before *resolvedView, paths []Path, resolved *resolver) {
-	v.services = maps.Clone(before.services)
+func (v *resolvedView) updateServices(previous *resolvedView, paths []Path, resolved *resolver) {
+	v.services = maps.Clone(previous.services)
 	for _, path := range paths {
 		service := fleet.Service(path.Base())
 		if path.Parent() != ServicesPath {
@@ -111,7 +111,7 @@
 		policy.Service = service
 		v.services[service] = &policy
 	}
-	v.serviceOrder = sameOrNew(before.serviceOrder, v.services)
+	v.serviceOrder = sortedNames(previous.serviceOrder, v.services)
 }
 
 // accountHashes returns the API key hashes of a path that is a client account.
@@ -122,12 +122,12 @@
 	return t.keyHashes(path)
 }
 
-// sameOrNew returns the sorted names of a table, and the old list when it is
-// still true.
-func sameOrNew[K ~string, V any](old []K, table map[K]V) []K {
-	same := len(old) == len(table)
+// sortedNames returns the sorted keys of a map. It returns the old list if that
+// is still correct.
+func sortedNames[K ~string, V any](old []K, entries map[K]V) []K {
+	same := len(old) == len(entries)
 	for _, name := range old {
-		if _, ok := table[name]; !ok {
+		if _, ok := entries[name]; !ok {
 			same = false
 			break
 		}
@@ -135,7 +135,7 @@
 	if same {
 		return old
 	}
-	return slices.Sorted(maps.Keys(table))
+	return slices.Sorted(maps.Keys(entries))
 }
 
 // Revision implements View.
