--- a/internal/ctl/account.go
+++ b/internal/ctl/account.go
@@ -10,13 +10,13 @@
 	"github.com/bluebellchute/bluebellchute/internal/settings"
 )
 
-// API keys are random, so a plain hash of them cannot be guessed back.
+// API keys are random, so an unsalted hash doesn't allow to guess them.
 const (
 	apiKeyBytes  = 32
 	apiKeyPrefix = "bb_"
 )
 
-// newAPIKey returns a new API key and its hash.
+// newAPIKey generates an API key and returns it with its hash.
 func (s *session) newAPIKey() (string, settings.KeyHash, error) {
 	secret := make([]byte, apiKeyBytes)
 	if _, err := io.ReadFull(s.Random, secret); err != nil {
@@ -28,7 +28,7 @@
 
 // accountAdd creates a client account.
 type accountAdd struct {
-	base
+	commandBase
 	editOptions
 	Positional struct {
 		Path   string   `positional-arg-name:"PATH" required:"true"`
@@ -56,9 +56,10 @@
 	})
 }
 
-// accountRotateKey adds an API key beside the present ones, or ends a rotation.
+// accountRotateKey adds an API key to the existing ones, or finishes a rotation
+// by removing all keys but the newest.
 type accountRotateKey struct {
-	base
+	commandBase
 	editOptions
 	Finish     bool `long:"finish" description:"Keep only the newest key; add none."`
 	Positional struct {
@@ -81,7 +82,7 @@
 	})
 }
 
-// rotate replaces the account's hashes. secret is the new API key, or empty.
+// rotate replaces the account's key hashes. secret is the new API key, or empty.
 func (c *accountRotateKey) rotate(s *session, secret string, replace func([]settings.KeyHash) []settings.KeyHash) error {
 	path := settings.Path(c.Positional.Path)
 	return s.edit(c.editOptions, secret, func(tree *settings.Tree) ([]settings.Change, error) {
@@ -90,7 +91,7 @@
 			return nil, err
 		}
 		text := settings.FormatKeyHashes(replace(hashes))
-		return setAll(path, []settings.Setting{{Key: settings.KeyAPIKey, Value: text}}), nil
+		return setChanges(path, []settings.Setting{{Key: settings.KeyAPIKey, Value: text}}), nil
 	})
 }
 
@@ -105,9 +106,9 @@
 	return settings.ParseKeyHashes(text)
 }
 
-// accountDisable refuses a client account's calls.
+// accountDisable disables or enables a client account.
 type accountDisable struct {
-	base
+	commandBase
 	editOptions
 	Undo       bool `long:"undo" description:"Take its calls again, unless a node above it is disabled."`
 	Positional struct {
@@ -124,6 +125,6 @@
 		if c.Undo {
 			return []settings.Change{{Op: settings.OpUnset, Path: path, Key: settings.KeyDisabled}}, nil
 		}
-		return setAll(path, []settings.Setting{{Key: settings.KeyDisabled, Value: "true"}}), nil
+		return setChanges(path, []settings.Setting{{Key: settings.KeyDisabled, Value: "true"}}), nil
 	})
 }
--- a/internal/ctl/app.go
+++ b/internal/ctl/app.go
@@ -23,8 +23,8 @@
 	Drain(ctx context.Context, address fleet.Address, request *rpc.DrainRequest) (*rpc.DrainReply, error)
 }
 
-// App runs one command. Its fields are what the commands need of the world
-// outside, so that a test can put its own in their place.
+// App runs one command. Its fields are the commands' external dependencies, so
+// that a test can replace them.
 type App struct {
 	Stdin          io.Reader
 	Stdout, Stderr io.Writer
@@ -36,7 +36,7 @@
 	PrepareEditor  func(editor *settings.Editor) // may be nil
 }
 
-// New returns the app for the process's own streams and the real network.
+// New returns an App that uses the process's standard streams and the network.
 func New() *App {
 	return &App{
 		Stdin: os.Stdin, Stdout: os.Stdout, Stderr: os.Stderr,
@@ -46,11 +46,11 @@
 		},
 		OpenNodes: newControlNodes,
 		Retry:     settings.DefaultRetryPolicy(),
-		Sleep:     wait,
+		Sleep:     sleep,
 	}
 }
 
-func wait(ctx context.Context, delay time.Duration) error {
+func sleep(ctx context.Context, delay time.Duration) error {
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	select {
@@ -61,7 +61,7 @@
 	}
 }
 
-// Run runs a command line, without the program's name, and returns the exit
+// Run runs a command line, given without the program name, and returns the exit
 // status.
 func (a *App) Run(args []string) int {
 	session := &session{App: a}
@@ -79,6 +79,6 @@
 		return ExitUsage
 	default:
 		fmt.Fprintf(a.Stderr, "bluebellctl: %v\n", err)
-		return statusOf(err)
+		return exitStatus(err)
 	}
 }
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -22,29 +22,29 @@
 
 // TestCommands runs the files in testdata. Their commands are:
 //
-//	ctl      runs a command line; the output names streams and exit status
-//	stdin    gives the text of standard input to the next command line
+//	ctl      runs a command line; the output shows stdout, stderr and the exit status
+//	stdin    sets the standard input of the command lines that follow
 //	before   runs a command line of another operator just before the next
 //	         update of the head
 //	platform sets the platform's faults: ok, down or lose-replies
-//	node     sets the revision of a node that all list; "silent" lets it not
-//	         answer; "rise" lets it reach the revision at the next question
+//	node     adds a node at a revision; "silent" makes it unreachable, "rise"
+//	         raises its revision after each query
 func TestCommands(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, file string) {
-		world := newWorld(t)
+		env := newTestEnv(t)
 		datadriven.RunTest(t, file, func(t *testing.T, data *datadriven.TestData) string {
 			switch data.Cmd {
 			case "ctl":
-				return world.run(data.Input)
+				return env.run(data.Input)
 			case "stdin":
-				world.stdin = data.Input
+				env.stdin = data.Input
 			case "before":
 				line := data.Input
-				world.api.beforeUpdate = func() { world.run(line) }
+				env.api.beforeUpdate = func() { env.run(line) }
 			case "platform":
-				world.api.Store.SetFaults(faultsNamed(t, data.CmdArgs[0].Key))
+				env.api.Store.SetFaults(faultsNamed(t, data.CmdArgs[0].Key))
 			case "node":
-				world.addNode(t, data.CmdArgs[0].Key, data.CmdArgs[1].Key)
+				env.addNode(t, data.CmdArgs[0].Key, data.CmdArgs[1].Key)
 			default:
 				t.Fatalf("unknown command %s", data.Cmd)
 			}
@@ -66,48 +66,48 @@
 	return platform.Faults{}
 }
 
-// world is what the commands meet in a test.
-type world struct {
+// testEnv is the environment in which a test runs commands.
+type testEnv struct {
 	api   *testPlatform
 	nodes testNodes
 	stdin string
-	edits int // made so far; gives ids, times and API keys that are the same in each run
+	edits int // number of edits so far; makes ids, times and API keys reproducible
 }
 
-// testPlatform lets another operator come first.
+// testPlatform is a platform on which another operator can make an edit first.
 type testPlatform struct {
 	*platform.Store
 	beforeUpdate func()
 }
 
 func (p *testPlatform) Put(ctx context.Context, key string, data []byte, expect platform.Version) (platform.Version, error) {
-	if first := p.beforeUpdate; key == settings.HeadKey && first != nil {
+	if hook := p.beforeUpdate; key == settings.HeadKey && hook != nil {
 		p.beforeUpdate = nil
-		first()
+		hook()
 	}
 	return p.Store.Put(ctx, key, data, expect)
 }
 
-// testNodes are nodes by their control addresses.
+// testNodes holds the nodes by control address.
 type testNodes map[fleet.Address]*testNode
 
 type testNode struct {
-	revision uint64
-	silent   bool
-	rise     bool
-	leaving  bool
+	revision    uint64
+	unreachable bool
+	advance     bool
+	draining    bool
 }
 
 func (n testNodes) Status(_ context.Context, address fleet.Address) (*rpc.StatusReply, error) {
 	node, ok := n[address]
-	if !ok || node.silent {
+	if !ok || node.unreachable {
 		return nil, errors.New("connection refused")
 	}
 	reply := &rpc.StatusReply{
-		Envelope: &rpc.Envelope{SettingsRevision: node.revision, Leaving: node.leaving},
+		Envelope: &rpc.Envelope{SettingsRevision: node.revision, Leaving: node.draining},
 		Role:     string(fleet.RoleAgent), Vm: "vm-1", AvailabilityZone: "zone-a", Service: "llm", Slots: 8, Running: 3,
 	}
-	if node.rise {
+	if node.advance {
 		node.revision++
 	}
 	return reply, nil
@@ -118,39 +118,39 @@
 	if !ok {
 		return nil, errors.New("connection refused")
 	}
-	node.leaving = !request.GetUndo()
+	node.draining = !request.GetUndo()
 	return &rpc.DrainReply{Running: 3}, nil
 }
 
-func newWorld(t *testing.T) *world {
-	w := &world{api: &testPlatform{Store: platform.NewStore(platform.StoreOptions{})}, nodes: make(testNodes)}
+func newTestEnv(t *testing.T) *testEnv {
+	e := &testEnv{api: &testPlatform{Store: platform.NewStore(platform.StoreOptions{})}, nodes: make(testNodes)}
 	const first = "[/]\nweight = 1\n\n[acme]\nrate_limit = 50\n\n[acme/labs/alice]\n\n[services/llm]\nslots = 8\n"
-	if result := settings.Bootstrap(t.Context(), w.api, []byte(first), "first"); result.Outcome != settings.OutcomeAccepted {
+	if result := settings.Bootstrap(t.Context(), e.api, []byte(first), "first"); result.Outcome != settings.OutcomeAccepted {
 		t.Fatalf("%+v", result)
 	}
-	return w
+	return e
 }
 
-func (w *world) addNode(t *testing.T, address, what string) {
-	node := &testNode{silent: what == "silent", rise: what == "rise"}
-	if _, err := fmt.Sscan(what, &node.revision); err != nil && !node.silent && !node.rise {
+func (e *testEnv) addNode(t *testing.T, address, state string) {
+	node := &testNode{unreachable: state == "silent", advance: state == "rise"}
+	if _, err := fmt.Sscan(state, &node.revision); err != nil && !node.unreachable && !node.advance {
 		t.Fatal(err)
 	}
 	control := fleet.Address(address)
-	if _, known := w.nodes[control]; !known {
+	if _, known := e.nodes[control]; !known {
 		data, err := membership.EncodeRecord(membership.Record{Node: fleet.Node{Control: control, VM: "vm-1", Role: fleet.RoleAgent}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := w.api.Store.Put(t.Context(), membership.Key(control), data, 0); err != nil {
+		if _, err := e.api.Store.Put(t.Context(), membership.Key(control), data, 0); err != nil {
 			t.Fatal(err)
 		}
 	}
-	w.nodes[control] = node
+	e.nodes[control] = node
 }
 
-// run runs one command line; words with spaces are in quotes.
-func (w *world) run(line string) string {
+// run runs one command line. Arguments with spaces are quoted.
+func (e *testEnv) run(line string) string {
 	words := csv.NewReader(strings.NewReader(line))
 	words.Comma = ' '
 	args, err := words.Read()
@@ -159,9 +159,9 @@
 	}
 	var stdout, stderr bytes.Buffer
 	app := New()
-	app.Stdin, app.Stdout, app.Stderr = strings.NewReader(w.stdin), &stdout, &stderr
-	app.OpenPlatform = func(fleet.Address) platform.API { return w.api }
-	app.OpenNodes = func(string) Nodes { return w.nodes }
+	app.Stdin, app.Stdout, app.Stderr = strings.NewReader(e.stdin), &stdout, &stderr
+	app.OpenPlatform = func(fleet.Address) platform.API { return e.api }
+	app.OpenNodes = func(string) Nodes { return e.nodes }
 	app.Retry = settings.RetryPolicy{MaxAttempts: 3, CallTimeout: time.Minute, Backoff: func(ctx context.Context, _ int) error { return ctx.Err() }}
 	rounds := 0
 	app.Sleep = func(context.Context, time.Duration) error {
@@ -170,8 +170,8 @@
 		}
 		return nil
 	}
-	app.Random = zeros{w}
-	app.PrepareEditor = w.prepare
+	app.Random = keySource{e}
+	app.PrepareEditor = e.prepare
 	status := app.Run(append([]string{"--platform", "127.0.0.1:1", "--token", "t", "--timeout", "10m"}, args...))
 	text := stdout.String()
 	if stderr.Len() > 0 {
@@ -180,19 +180,20 @@
 	return fmt.Sprintf("%sexit status %d\n", text, status)
 }
 
-func (w *world) prepare(editor *settings.Editor) {
-	editor.Now = func() time.Time { return time.Date(2026, 3, 1, 12, w.edits, 0, 0, time.UTC) }
+func (e *testEnv) prepare(editor *settings.Editor) {
+	editor.Now = func() time.Time { return time.Date(2026, 3, 1, 12, e.edits, 0, 0, time.UTC) }
 	editor.NewID = func() (settings.EditID, error) {
-		w.edits++
-		return uuid.Parse(fmt.Sprintf("01900000-0000-7000-8000-%012d", w.edits))
+		e.edits++
+		return uuid.Parse(fmt.Sprintf("01900000-0000-7000-8000-%012d", e.edits))
 	}
 }
 
-// zeros gives API keys that tell by which command they were made.
-type zeros struct{ *world }
+// keySource is a source of API keys that begin with the number of edits so far, so that
+// each command's key is known in advance.
+type keySource struct{ *testEnv }
 
-func (z zeros) Read(p []byte) (int, error) {
+func (k keySource) Read(p []byte) (int, error) {
 	clear(p)
-	p[0] = byte(z.edits)
+	p[0] = byte(k.edits)
 	return len(p), nil
 }
--- a/internal/ctl/doc.go
+++ b/internal/ctl/doc.go
@@ -1,4 +1,5 @@
-// Package ctl holds the commands of bluebellctl, by which operators read and
-// edit the settings, follow a change through the fleet, and drain backend
-// servers. docs/bluebellctl.md is its manual page.
+// Package ctl implements the commands of bluebellctl. With them, operators read
+// and edit the settings, wait for the rollout of a change, drain routers and
+// backend servers, and analyse router logs. docs/bluebellctl.md is the manual
+// page.
 package ctl
--- a/internal/ctl/drain.go
+++ b/internal/ctl/drain.go
@@ -7,10 +7,10 @@
 	"github.com/bluebellchute/bluebellchute/internal/rpc"
 )
 
-// drain lets the backend server of one agent take no new work.
+// drain stops the backend server of one agent from accepting new work.
 type drain struct {
-	base
-	who
+	commandBase
+	operatorOptions
 	Reason     string `long:"reason" description:"Why, for the agent's log."`
 	Undo       bool   `long:"undo" description:"Take new work again."`
 	Positional struct {
@@ -18,11 +18,11 @@
 	} `positional-args:"true"`
 }
 
-// drainJSON is a drain for scripts.
+// drainJSON is the JSON output of drain.
 type drainJSON struct {
 	Control fleet.Address `json:"control"`
 	Leaving bool          `json:"leaving"`
-	Running uint32        `json:"running"` // requests in progress, which are finished
+	Running uint32        `json:"running"` // requests in progress; they run to completion
 }
 
 func (c *drain) run(s *session) error {
--- a/internal/ctl/edit.go
+++ b/internal/ctl/edit.go
@@ -10,12 +10,12 @@
 	"github.com/bluebellchute/bluebellchute/internal/settings"
 )
 
-// who is the flag of all commands that change something.
-type who struct {
+// operatorOptions holds the flag of all commands that change something.
+type operatorOptions struct {
 	Operator string `long:"operator" env:"BLUEBELL_OPERATOR" description:"Who gives the order; without it the user's login name."`
 }
 
-func (o who) operator() string {
+func (o operatorOptions) operator() string {
 	if o.Operator != "" {
 		return o.Operator
 	}
@@ -25,25 +25,25 @@
 	return "unknown"
 }
 
-// editOptions are the flags of all commands that edit the settings.
+// editOptions holds the flags of all commands that edit the settings.
 type editOptions struct {
-	who
+	operatorOptions
 	Reason string  `long:"reason" description:"Why, for the history."`
 	Expect *uint64 `long:"expect-revision" value-name:"N" description:"Refuse the edit unless the tree is at this revision."`
 	DryRun bool    `long:"dry-run" description:"Check the edit and show it, but don't send it."`
 }
 
-// planner works out an edit's changes from the tree as it is now.
-type planner func(tree *settings.Tree) ([]settings.Change, error)
+// planFunc computes the changes of an edit from the current tree.
+type planFunc func(tree *settings.Tree) ([]settings.Change, error)
 
-// edit reads the tree, checks the planned changes against it before anything is
-// sent, submits them and shows the result. The changes were planned on the
-// revision that was read, so an edit made since then to the same keys is a
-// conflict. secret is an API key that the edit brings into force, or empty.
-func (s *session) edit(options editOptions, secret string, plan planner) error {
+// edit reads the tree, validates the planned changes against it, submits them
+// and shows the result. The changes are based on the revision that was read: a
+// later edit of the same keys is a conflict. secret is an API key that the edit
+// activates, or empty.
+func (s *session) edit(options editOptions, secret string, plan planFunc) error {
 	ctx, cancel := s.context()
 	defer cancel()
-	editor, snapshot, err := s.read(ctx)
+	editor, snapshot, err := s.readSettings(ctx)
 	if err != nil {
 		return err
 	}
@@ -51,7 +51,7 @@
 	if err != nil {
 		return err
 	}
-	checked, err := check(snapshot.Tree, changes)
+	checked, err := checkChanges(snapshot.Tree, changes)
 	if err != nil {
 		return err
 	}
@@ -71,8 +71,9 @@
 	return resultError(result)
 }
 
-// check returns the changes as they would be recorded, or all mistakes.
-func check(tree *settings.Tree, changes []settings.Change) ([]settings.Change, error) {
+// checkChanges returns the changes as they would be recorded, or an error with
+// all problems.
+func checkChanges(tree *settings.Tree, changes []settings.Change) ([]settings.Change, error) {
 	next, checked, err := tree.Apply(changes)
 	if err != nil {
 		return nil, err
@@ -80,7 +81,7 @@
 	return checked, next.Validate()
 }
 
-// resultError returns the error for a result that is not accepted.
+// resultError returns the error for a result, or nil if the edit was accepted.
 func resultError(result settings.Result) error {
 	switch result.Outcome {
 	case settings.OutcomeAccepted:
@@ -89,7 +90,7 @@
 		return &exitError{status: ExitConflict, cause: result.Err}
 	case settings.OutcomeUnknown:
 		return &exitError{status: ExitUnknown, cause: fmt.Errorf(
-			"it is not known whether the edit was accepted (%v): ask again with: bluebellctl history --edit %s --revision %d",
+			"it is not known whether the edit was accepted (%v): check again with: bluebellctl history --edit %s --revision %d",
 			result.Err, result.ID, result.Revision)}
 	default:
 		return &exitError{status: notAcceptedStatus(result.Err), cause: fmt.Errorf("the edit is not accepted: %w", result.Err)}
@@ -97,22 +98,22 @@
 }
 
 func notAcceptedStatus(err error) int {
-	if statusOf(err) == ExitUsage {
+	if exitStatus(err) == ExitUsage {
 		return ExitUsage
 	}
 	return ExitFailure
 }
 
-// resultJSON is a result for scripts.
+// resultJSON is the JSON output of an edit.
 type resultJSON struct {
 	settings.Result
 	APIKey string `json:"api_key,omitempty"`
 	Error  string `json:"error,omitempty"`
 }
 
-// showResult shows how an edit ended. A new API key is shown here and never
-// again, since the settings hold its hash only. When the outcome is unknown it
-// may come into force, so it is shown as well.
+// showResult shows the result of an edit. This is the only time that a new API
+// key is shown, since the settings hold only its hash. It is also shown when the
+// outcome is unknown, since the edit may still come into force.
 func (s *session) showResult(result settings.Result, secret string) error {
 	if result.Outcome != settings.OutcomeAccepted && result.Outcome != settings.OutcomeUnknown {
 		secret = ""
@@ -138,13 +139,13 @@
 	return nil
 }
 
-// planJSON is a plan for scripts.
+// planJSON is the JSON output of a dry run or a diff.
 type planJSON struct {
-	Revision uint64            `json:"revision"` // of the tree that the plan was made for
+	Revision uint64            `json:"revision"` // of the tree on which the changes are based
 	Changes  []settings.Change `json:"changes"`
 }
 
-// showPlan shows changes that have not been sent.
+// showPlan shows changes that haven't been submitted.
 func (s *session) showPlan(revision uint64, changes []settings.Change) error {
 	if len(changes) == 0 && s.options.Output != outputJSON {
 		fmt.Fprintf(s.Stdout, "nothing to change at revision %d\n", revision)
@@ -154,11 +155,11 @@
 }
 
 func changesTable(changes []settings.Change) *table {
-	people := &table{columns: []string{"OPERATION", "PATH", "KEY", "BEFORE", "AFTER"}}
+	rows := &table{columns: []string{"OPERATION", "PATH", "KEY", "BEFORE", "AFTER"}}
 	for _, change := range changes {
-		people.add(changeCells(change)...)
+		rows.add(changeCells(change)...)
 	}
-	return people
+	return rows
 }
 
 func changeCells(change settings.Change) []string {
--- a/internal/ctl/engines.go
+++ b/internal/ctl/engines.go
@@ -14,23 +14,23 @@
 	"github.com/bluebellchute/bluebellchute/internal/peering/peeringpb"
 )
 
-// engineReport is what a router knows of how fast one engine works. Work times are in
-// parts of the usual time of the fleet's machines.
+// engineReport holds the work times of one engine as a router knows them. Work times
+// are relative to the usual time of the fleet's machines.
 type engineReport struct {
 	Engine       string        `json:"engine"`
 	Service      fleet.Service `json:"service"`
 	Zone         fleet.Zone    `json:"zone,omitempty"`
 	Usual        float32       `json:"usual"`
 	Now          float32       `json:"now"`
-	TokensPerSec float32       `json:"tokens_per_s"` // prompt tokens read; 0 if unknown
-	Late         float32       `json:"late"`         // share of the streams that ended
-	Age          time.Duration `json:"age_ns"`       // since it reported a work time
-	Running      uint32        `json:"running"`      // requests of all routers
+	TokensPerSec float32       `json:"tokens_per_s"` // prompt tokens processed; 0 if unknown
+	Late         float32       `json:"late"`         // share of late streams among those that ended
+	Age          time.Duration `json:"age_ns"`       // time since it last reported a work time
+	Running      uint32        `json:"running"`      // requests from all routers
 }
 
-// engineList shows how fast the engines work.
+// engineList shows the work times of the engines.
 type engineList struct {
-	base
+	commandBase
 	Router  string `long:"router" value-name:"IP:PORT" description:"The router to ask, in place of the first one in the store's list that answers."`
 	Service string `long:"service" value-name:"NAME" description:"Only engines of this service."`
 }
@@ -38,22 +38,22 @@
 func (c *engineList) run(s *session) error {
 	ctx, cancel := s.context()
 	defer cancel()
-	router, reply, err := c.ask(ctx, s)
+	router, reply, err := c.queryRouter(ctx, s)
 	if err != nil {
 		return err
 	}
-	engines := c.selected(reply)
+	engines := c.selectEngines(reply)
 	if len(engines) == 0 && s.options.Output != outputJSON {
-		fmt.Fprintln(s.Stdout, c.none(router, len(reply.Engines)))
+		fmt.Fprintln(s.Stdout, c.explainEmpty(router, len(reply.Engines)))
 		return nil
 	}
 	return s.show(engines, enginesTable(engines))
 }
 
-// ask returns the status of the named router, or of the first listed one that answers:
-// each router knows the work times that all of them were told.
-func (c *engineList) ask(ctx context.Context, s *session) (fleet.Address, *peeringpb.StatusReply, error) {
-	routers, err := c.routers(ctx, s)
+// queryRouter returns the status of the named router, or of the first router in the
+// store's list that replies. Any router will do, since all routers share the work times.
+func (c *engineList) queryRouter(ctx context.Context, s *session) (fleet.Address, *peeringpb.StatusReply, error) {
+	routers, err := c.candidateRouters(ctx, s)
 	if err != nil {
 		return "", nil, err
 	}
@@ -63,13 +63,13 @@
 		if reply, err = routerAt(router).Status(ctx, &peeringpb.StatusRequest{}); err == nil {
 			return router, reply, nil
 		}
-		err = errors.WithMessagef(err, "asking router %s", router)
+		err = errors.WithMessagef(err, "querying router %s", router)
 	}
 	return "", nil, err
 }
 
-// routers returns the addresses of the routers to try.
-func (c *engineList) routers(ctx context.Context, s *session) ([]fleet.Address, error) {
+// candidateRouters returns the addresses of the routers to query, in order.
+func (c *engineList) candidateRouters(ctx context.Context, s *session) ([]fleet.Address, error) {
 	if c.Router != "" {
 		return []fleet.Address{fleet.Address(c.Router)}, nil
 	}
@@ -77,10 +77,9 @@
 	return lo.Map(reports, func(r routerReport, _ int) fleet.Address { return r.Router }), err
 }
 
-// selected returns the engines of the wanted service, the slowest first. The usual work
-// time comes first in the order: the current one rises for fractions of a second at any
-// engine.
-func (c *engineList) selected(reply *peeringpb.StatusReply) []engineReport {
+// selectEngines returns the engines of the selected service, slowest first. It sorts by
+// the usual work time, since the current one rises for fractions of a second at any engine.
+func (c *engineList) selectEngines(reply *peeringpb.StatusReply) []engineReport {
 	engines := []engineReport{}
 	for _, engine := range reply.Engines {
 		if c.Service == "" || c.Service == engine.Service {
@@ -107,20 +106,20 @@
 	}
 }
 
-// none says why there is nothing to show, known being the engines of all services.
-func (c *engineList) none(router fleet.Address, known int) string {
-	if known > 0 {
-		return fmt.Sprintf("router %s knows no work time of an engine of service %s; it knows %d of other services", router, c.Service, known)
+// explainEmpty explains an empty list. total counts the engines of all services.
+func (c *engineList) explainEmpty(router fleet.Address, total int) string {
+	if total > 0 {
+		return fmt.Sprintf("router %s has no work time of an engine of service %s; it has %d of other services", router, c.Service, total)
 	}
-	return fmt.Sprintf("router %s knows no work time of any engine: none reports one, or [engines] pace is off there", router)
+	return fmt.Sprintf("router %s has no work time of any engine: none reports one, or [engines] pace is off there", router)
 }
 
 func enginesTable(engines []engineReport) *table {
-	people := &table{columns: []string{"ENGINE", "SERVICE", "ZONE", "USUAL", "NOW", "TOKENS/S", "LATE", "AGE", "RUNNING"}}
+	rows := &table{columns: []string{"ENGINE", "SERVICE", "ZONE", "USUAL", "NOW", "TOKENS/S", "LATE", "AGE", "RUNNING"}}
 	for _, e := range engines {
 		rate := lo.Ternary(e.TokensPerSec == 0, "-", fmt.Sprintf("%.0f", e.TokensPerSec))
-		people.add(e.Engine, string(e.Service), orDash(string(e.Zone)), fmt.Sprintf("%.2f", e.Usual), fmt.Sprintf("%.2f", e.Now),
+		rows.add(e.Engine, string(e.Service), orDash(string(e.Zone)), fmt.Sprintf("%.2f", e.Usual), fmt.Sprintf("%.2f", e.Now),
 			rate, fmt.Sprintf("%.0f%%", 100*e.Late), e.Age.Round(time.Millisecond).String(), fmt.Sprint(e.Running))
 	}
-	return people
+	return rows
 }
--- a/internal/ctl/exit.go
+++ b/internal/ctl/exit.go
@@ -9,14 +9,14 @@
 // Exit statuses of bluebellctl. Scripts rely on them.
 const (
 	ExitSuccess    = 0
-	ExitFailure    = 1 // not done; an edit is not accepted and never will be
-	ExitUsage      = 2 // a bad command line, path, key or value; nothing was sent
-	ExitConflict   = 3 // another edit came first; the edit is not accepted and never will be
-	ExitUnknown    = 4 // the edit may have been accepted or may yet be
-	ExitIncomplete = 5 // not all nodes have the revision in force, or some don't answer
+	ExitFailure    = 1 // failed; an edit has not been accepted and will not be
+	ExitUsage      = 2 // invalid command line, path, key or value; nothing was sent
+	ExitConflict   = 3 // another edit came first; the edit has not been accepted and will not be
+	ExitUnknown    = 4 // the edit may have been accepted, or may still be
+	ExitIncomplete = 5 // the revision isn't in force at all nodes, or some nodes don't reply
 )
 
-// exitError is an error with the exit status that it leads to.
+// exitError is an error with an exit status.
 type exitError struct {
 	status int
 	cause  error
@@ -32,16 +32,16 @@
 	return &exitError{status: ExitUsage, cause: errors.Errorf(format, args...)}
 }
 
-// incomplete returns an error when some of those that were asked were silent.
-func incomplete(silent, asked int, what string) error {
-	if silent == 0 {
+// incompleteError returns an error if some of the queried nodes didn't reply.
+func incompleteError(unanswered, total int, what string) error {
+	if unanswered == 0 {
 		return nil
 	}
-	return &exitError{status: ExitIncomplete, cause: errors.Errorf("%d of %d %s don't answer", silent, asked, what)}
+	return &exitError{status: ExitIncomplete, cause: errors.Errorf("%d of %d %s don't answer", unanswered, total, what)}
 }
 
-// statusOf returns the exit status for an error.
-func statusOf(err error) int {
+// exitStatus returns the exit status of an error.
+func exitStatus(err error) int {
 	var exit *exitError
 	var invalid *settings.ValidationError
 	switch {
--- a/internal/ctl/history.go
+++ b/internal/ctl/history.go
@@ -10,9 +10,9 @@
 	"github.com/bluebellchute/bluebellchute/internal/settings"
 )
 
-// history shows the accepted edits, the newest first.
+// history shows the accepted edits, newest first.
 type history struct {
-	base
+	commandBase
 	Limit    int    `long:"limit" default:"20" description:"Edits to show; 0 shows all."`
 	Path     string `long:"path" description:"Only edits at or below this node."`
 	Edit     string `long:"edit" value-name:"ID" description:"Tell what became of an edit whose outcome was unknown; needs --revision."`
@@ -21,7 +21,7 @@
 
 func (c *history) run(s *session) error {
 	if c.Edit != "" {
-		return c.outcome(s)
+		return c.showOutcome(s)
 	}
 	ctx, cancel := s.context()
 	defer cancel()
@@ -31,7 +31,7 @@
 	}
 	records := []settings.Record{}
 	err = editor.Reader().History(ctx, 0, func(record settings.Record) bool {
-		if c.wants(record) {
+		if c.matches(record) {
 			records = append(records, record)
 		}
 		return c.Limit == 0 || len(records) < c.Limit
@@ -42,7 +42,7 @@
 	return s.show(records, recordsTable(records))
 }
 
-func (c *history) wants(record settings.Record) bool {
+func (c *history) matches(record settings.Record) bool {
 	if c.Path == "" {
 		return true
 	}
@@ -55,8 +55,8 @@
 	return false
 }
 
-// outcome tells what became of an edit.
-func (c *history) outcome(s *session) error {
+// showOutcome shows the outcome of the edit that --edit names.
+func (c *history) showOutcome(s *session) error {
 	id, err := uuid.Parse(c.Edit)
 	if err != nil || c.Revision == 0 {
 		return usageErrorf("--edit needs the edit's id and --revision")
@@ -85,17 +85,18 @@
 	return resultError(result)
 }
 
-// recordsTable shows one change a line; who, when and why stand at the first.
+// recordsTable returns a table with one change per row. Only the first row of an
+// edit shows the revision, time, operator and reason.
 func recordsTable(records []settings.Record) *table {
-	people := &table{columns: []string{"REVISION", "TIME", "OPERATOR", "REASON", "OPERATION", "PATH", "KEY", "BEFORE", "AFTER"}}
+	rows := &table{columns: []string{"REVISION", "TIME", "OPERATOR", "REASON", "OPERATION", "PATH", "KEY", "BEFORE", "AFTER"}}
 	for _, record := range records {
-		first := []string{fmt.Sprint(record.Revision), record.Time.Format(time.RFC3339), orDash(record.Operator), orDash(oneLine(record.Reason))}
+		metadata := []string{fmt.Sprint(record.Revision), record.Time.Format(time.RFC3339), orDash(record.Operator), orDash(singleLine(record.Reason))}
 		for _, change := range record.Changes {
-			people.add(append(first, changeCells(change)...)...)
-			first = []string{"", "", "", ""}
+			rows.add(append(metadata, changeCells(change)...)...)
+			metadata = []string{"", "", "", ""}
 		}
 	}
-	return people
+	return rows
 }
 
-func oneLine(text string) string { return strings.Join(strings.Fields(text), " ") }
+func singleLine(text string) string { return strings.Join(strings.Fields(text), " ") }
--- a/internal/ctl/losses.go
+++ b/internal/ctl/losses.go
@@ -14,40 +14,40 @@
 	"github.com/bluebellchute/bluebellchute/internal/losses"
 )
 
-// logFiles are the logs that a command reads, those of all routers together.
+// logFiles lists the log files that a command reads, of all routers together.
 type logFiles struct {
 	Logs []string `positional-arg-name:"LOG" required:"1" description:"A log of one or several routers, - for standard input."`
 }
 
-// read hands each record of the logs to take. It tells of those that can't be read.
-func (l logFiles) read(s *session, take func(record losses.Record) error) error {
+// read passes each log record to handle, and reports on stderr how many are invalid.
+func (l logFiles) read(s *session, handle func(record losses.Record) error) error {
 	for _, name := range l.Logs {
-		spoiled, err := readLog(s, name, take)
+		invalid, err := readLog(s, name, handle)
 		if err != nil {
 			return errors.WithMessage(err, name)
 		}
-		if spoiled > 0 {
-			fmt.Fprintf(s.Stderr, "%s: %d records could not be read and are left out\n", name, spoiled)
+		if invalid > 0 {
+			fmt.Fprintf(s.Stderr, "%s: skipped %d invalid records\n", name, invalid)
 		}
 	}
 	return nil
 }
 
-func readLog(s *session, name string, take func(record losses.Record) error) (spoiled int, err error) {
+func readLog(s *session, name string, handle func(record losses.Record) error) (invalid int, err error) {
 	if name == "-" {
-		return losses.Read(s.Stdin, take)
+		return losses.Read(s.Stdin, handle)
 	}
 	file, err := os.Open(name)
 	if err != nil {
 		return 0, errors.WithStack(err)
 	}
 	defer file.Close()
-	return losses.Read(file, take)
+	return losses.Read(file, handle)
 }
 
-// lossesCommand tells what callers asked, were owed and got.
+// lossesCommand summarizes what callers requested, were owed and were granted.
 type lossesCommand struct {
-	base
+	commandBase
 	By         string   `long:"by" choice:"second" choice:"route" choice:"account" default:"route" description:"What a row of the table is."`
 	Plot       string   `long:"plot" value-name:"FILE" description:"Write the requests of each second as a picture (SVG)."`
 	Positional logFiles `positional-args:"true"`
@@ -76,7 +76,7 @@
 		return errors.WithStack(err)
 	}
 	if err := report.Plot(file); err != nil {
-		_ = file.Close() // the picture is not whole anyway
+		_ = file.Close() // the file is incomplete anyway
 		return err
 	}
 	return errors.WithStack(file.Close())
@@ -89,11 +89,11 @@
 	case "account":
 		return accountsTable(report)
 	}
-	people := &table{columns: append([]string{"ROUTE"}, countColumns...)}
+	rows := &table{columns: append([]string{"ROUTE"}, countColumns...)}
 	for _, name := range slices.Sorted(maps.Keys(report.Routes)) {
-		people.add(append([]string{orDash(name)}, countCells(report.Routes[name])...)...)
+		rows.add(append([]string{orDash(name)}, countCells(report.Routes[name])...)...)
 	}
-	return people
+	return rows
 }
 
 var countColumns = []string{"ENDED", "IN TIME", "LATE", "FAILED", "LEFT", "REFUSED", "BY REASON"}
@@ -111,30 +111,30 @@
 }
 
 func secondsTable(report *losses.Report) *table {
-	people := &table{columns: append([]string{"SECOND", "ASKED", "SERVED", "SHORTAGE", "HEADROOM"}, countColumns...)}
+	rows := &table{columns: append([]string{"SECOND", "ASKED", "SERVED", "SHORTAGE", "HEADROOM"}, countColumns...)}
 	for _, second := range report.Seconds {
-		cells := []string{second.At.UTC().Format("15:04:05"), tokens(second.Asked), tokens(second.Served), part(second.Shortage), part(second.Headroom)}
-		people.add(append(cells, countCells(&second.Counts)...)...)
+		cells := []string{second.At.UTC().Format("15:04:05"), formatTokens(second.Asked), formatTokens(second.Served), formatFraction(second.Shortage), formatFraction(second.Headroom)}
+		rows.add(append(cells, countCells(&second.Counts)...)...)
 	}
-	return people
+	return rows
 }
 
 func accountsTable(report *losses.Report) *table {
-	people := &table{columns: []string{"ACCOUNT", "ASKED", "OWED", "SERVED", "MISSED"}}
+	rows := &table{columns: []string{"ACCOUNT", "ASKED", "OWED", "SERVED", "MISSED"}}
 	for _, name := range slices.Sorted(maps.Keys(report.Accounts)) {
 		account := report.Accounts[name]
-		people.add(string(name), tokens(account.Asked), tokens(account.Owed), tokens(account.Served), tokens(account.Missed))
+		rows.add(string(name), formatTokens(account.Asked), formatTokens(account.Owed), formatTokens(account.Served), formatTokens(account.Missed))
 	}
-	return people
+	return rows
 }
 
-func tokens(count float64) string { return strconv.FormatFloat(count, 'f', 0, 64) }
+func formatTokens(count float64) string { return strconv.FormatFloat(count, 'f', 0, 64) }
 
-func part(value float64) string { return strconv.FormatFloat(value, 'f', 2, 64) }
+func formatFraction(value float64) string { return strconv.FormatFloat(value, 'f', 2, 64) }
 
-// explain prints one request's way through the routers.
+// explain prints the records of one request at all routers.
 type explain struct {
-	base
+	commandBase
 	Positional struct {
 		Request string   `positional-arg-name:"ID" required:"true" description:"The request's id."`
 		Logs    []string `positional-arg-name:"LOG" required:"1" description:"A log of one or several routers, - for standard input."`
@@ -148,7 +148,7 @@
 	}
 	records := path.Records()
 	if len(records) == 0 {
-		return errors.Errorf("no record of request %s: records of single requests are a sample when there are many", c.Positional.Request)
+		return errors.Errorf("no record of request %s: under load, only a sample of the requests is logged", c.Positional.Request)
 	}
 	for _, record := range records {
 		if _, err := io.WriteString(s.Stdout, string(record.Raw)+"\n"); err != nil {
--- a/internal/ctl/manual_test.go
+++ b/internal/ctl/manual_test.go
@@ -8,7 +8,8 @@
 	"github.com/bluebellchute/bluebellchute/internal/settings"
 )
 
-// TestManualDescribesAllKeys keeps the manual page and the registry the same.
+// TestManualDescribesAllKeys checks that the manual page describes the keys as the
+// registry does.
 func TestManualDescribesAllKeys(t *testing.T) {
 	manual, err := os.ReadFile("../../docs/bluebellctl.md")
 	if err != nil {
--- a/internal/ctl/nodes.go
+++ b/internal/ctl/nodes.go
@@ -13,8 +13,8 @@
 	"github.com/bluebellchute/bluebellchute/internal/rpc"
 )
 
-// statusCalls is how many nodes are asked at once.
-const statusCalls = 32
+// maxStatusCalls is the maximum number of nodes queried concurrently.
+const maxStatusCalls = 32
 
 // controlNodes calls nodes over the control protocol.
 type controlNodes struct{ pool *control.Pool }
@@ -23,7 +23,7 @@
 	return controlNodes{pool: control.NewPool(token, control.NewMetrics(prometheus.NewRegistry()))}
 }
 
-// Status implements Nodes. The request has no envelope, since bluebellctl is no
+// Status implements Nodes. The request has no envelope, since bluebellctl isn't a
 // member of the fleet.
 func (n controlNodes) Status(ctx context.Context, address fleet.Address) (*rpc.StatusReply, error) {
 	return n.pool.Peer(address).Status(ctx, &rpc.StatusRequest{})
@@ -34,7 +34,7 @@
 	return n.pool.Agent(address).Drain(ctx, request)
 }
 
-// nodeReport is one node with what it says of itself.
+// nodeReport is one node with the status that it reports.
 type nodeReport struct {
 	Control  fleet.Address `json:"control"`
 	VM       string        `json:"vm,omitempty"`
@@ -46,11 +46,11 @@
 	Slots    uint32        `json:"slots"`
 	Running  uint32        `json:"running"`
 	Waiting  uint32        `json:"waiting"`
-	Error    string        `json:"error,omitempty"` // why the node does not answer
+	Error    string        `json:"error,omitempty"` // why the node doesn't reply
 }
 
-// listNodes returns the nodes that have an object on the platform, or the named
-// ones: in an outage of the platform the operator names them.
+// listNodes returns the named nodes, or else those that have an object on the
+// platform. Operators name the nodes during an outage of the platform.
 func (s *session) listNodes(ctx context.Context, named []string) ([]nodeReport, error) {
 	var reports []nodeReport
 	for _, address := range named {
@@ -80,18 +80,18 @@
 	return reports, nil
 }
 
-// ask fills in what the nodes say of themselves.
-func ask(ctx context.Context, nodes Nodes, reports []nodeReport) []nodeReport {
+// queryNodes returns the reports completed with the status that each node returns.
+func queryNodes(ctx context.Context, nodes Nodes, reports []nodeReport) []nodeReport {
 	answered := make([]nodeReport, len(reports))
 	var group errgroup.Group
-	group.SetLimit(statusCalls)
+	group.SetLimit(maxStatusCalls)
 	var mu sync.Mutex
-	for place, report := range reports {
+	for i, report := range reports {
 		group.Go(func() error {
 			reply, err := nodes.Status(ctx, report.Control)
 			mu.Lock()
 			defer mu.Unlock()
-			answered[place] = filled(report, reply, err)
+			answered[i] = withStatus(report, reply, err)
 			return nil
 		})
 	}
@@ -99,7 +99,7 @@
 	return answered
 }
 
-func filled(report nodeReport, reply *rpc.StatusReply, err error) nodeReport {
+func withStatus(report nodeReport, reply *rpc.StatusReply, err error) nodeReport {
 	if err != nil {
 		report.Error = err.Error()
 		return report
--- a/internal/ctl/output.go
+++ b/internal/ctl/output.go
@@ -10,10 +10,10 @@
 	"github.com/pkg/errors"
 )
 
-// outputJSON is the value of --output for scripts.
+// outputJSON is the value of --output that selects JSON.
 const outputJSON = "json"
 
-// table is a result for people.
+// table is a result as columns and rows of text.
 type table struct {
 	columns []string
 	rows    [][]string
@@ -30,16 +30,15 @@
 	return errors.WithStack(writer.Flush())
 }
 
-// show writes a result as one line of JSON or as a table, as the operator wants
-// it.
-func (s *session) show(value any, people *table) error {
+// show writes a result as one line of JSON or as a table, depending on --output.
+func (s *session) show(value any, rows *table) error {
 	if s.options.Output != outputJSON {
-		return people.write(s.Stdout)
+		return rows.write(s.Stdout)
 	}
 	return errors.WithStack(json.NewEncoder(s.Stdout).Encode(value))
 }
 
-// orDash stands for an empty cell.
+// orDash returns the text, or a dash if it is empty.
 func orDash(text string) string {
 	if text == "" {
 		return "-"
--- a/internal/ctl/parser.go
+++ b/internal/ctl/parser.go
@@ -4,32 +4,33 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// command is what each command struct implements: the flags are its fields.
+// command is implemented by each command struct. The struct's fields are its flags.
 type command interface {
 	flags.Commander
 	run(s *session) error
 }
 
-// base makes a command struct a flags.Commander. The parser calls run instead.
-type base struct{}
+// commandBase implements flags.Commander for a command struct that embeds it. The
+// parser's CommandHandler calls run instead of Execute.
+type commandBase struct{}
 
 // Execute implements flags.Commander.
-func (base) Execute([]string) error { return nil }
+func (commandBase) Execute([]string) error { return nil }
 
-// group is a name under which commands are found.
-type group struct {
+// commandGroup is a command with subcommands.
+type commandGroup struct {
 	name, short string
-	commands    []entry
+	commands    []commandEntry
 }
 
-type entry struct {
+type commandEntry struct {
 	name, short string
 	command     command
 }
 
-func groups() []group {
-	return []group{
-		{"settings", "Read and edit the settings tree", []entry{
+func commandGroups() []commandGroup {
+	return []commandGroup{
+		{"settings", "Read and edit the settings tree", []commandEntry{
 			{"get", "Show the values in force at a node", &settingsGet{}},
 			{"set", "Set values of a node", &settingsSet{}},
 			{"unset", "Remove values of a node, or the node", &settingsUnset{}},
@@ -40,45 +41,45 @@
 			{"explain", "Show where a value in force comes from", &settingsExplain{}},
 			{"keys", "Describe the keys", &settingsKeys{}},
 		}},
-		{"account", "Manage client accounts and their API keys", []entry{
+		{"account", "Manage client accounts and their API keys", []commandEntry{
 			{"add", "Create a client account and print its API key", &accountAdd{}},
-			{"rotate-key", "Add an API key, or drop the older ones", &accountRotateKey{}},
+			{"rotate-key", "Add an API key, or remove the older ones", &accountRotateKey{}},
 			{"disable", "Refuse a client account's calls", &accountDisable{}},
-			{"uses", "Show what accounts asked and got of late at all routers", &accountUses{}},
+			{"uses", "Show what accounts recently requested and were granted at all routers", &accountUsesCommand{}},
 		}},
-		{"router", "See to the routers on the platform", []entry{
+		{"router", "Manage the routers on the platform", []commandEntry{
 			{"list", "Show the routers", &routerList{}},
-			{"drain", "Let a router leave new callers to the others", &routerDrain{}},
-			{"evacuations", "Show the evacuated availability zones and where that is in force", &evacuationList{}},
-			{"orders", "Show who gave which order to a router, when and why", &routerOrders{}},
+			{"drain", "Drain a router: new callers go to the other routers", &routerDrain{}},
+			{"evacuations", "Show the evacuated availability zones and how many routers apply the order", &evacuationList{}},
+			{"orders", "Show the orders given to routers: who, when and why", &routerOrders{}},
 		}},
 	}
 }
 
-func singles() []entry {
-	return []entry{
+func topLevelCommands() []commandEntry {
+	return []commandEntry{
 		{"history", "Show who changed what, when and why", &history{}},
 		{"rollout", "Wait until a revision is in force at all nodes", &rollout{}},
 		{"status", "Show the nodes of the fleet", &status{}},
-		{"drain", "Let a backend server take no new work", &drain{}},
-		{"engines", "Show how fast the engines work, as a router knows it", &engineList{}},
-		{"losses", "Tell from routers' logs what callers asked, were owed and got", &lossesCommand{}},
-		{"explain", "Print one request's records, with what its routers believed", &explain{}},
+		{"drain", "Stop a backend server from accepting new work", &drain{}},
+		{"engines", "Show the work times of the engines, as a router knows them", &engineList{}},
+		{"losses", "Summarize from router logs what callers requested, were owed and were granted", &lossesCommand{}},
+		{"explain", "Print the log records of one request and the state that its routers assumed", &explain{}},
 	}
 }
 
 // newParser returns the parser of the whole command line.
 func newParser(s *session) *flags.Parser {
 	parser := flags.NewNamedParser("bluebellctl", flags.HelpFlag|flags.PassDoubleDash)
-	parser.ShortDescription = "Steers a bluebellchute fleet"
+	parser.ShortDescription = "Controls a bluebellchute fleet"
 	mustGroup(parser.AddGroup("Global options", "", &s.options))
-	for _, group := range groups() {
+	for _, group := range commandGroups() {
 		parent := mustCommand(parser.AddCommand(group.name, group.short, "", &struct{}{}))
 		for _, entry := range group.commands {
 			mustCommand(parent.AddCommand(entry.name, entry.short, "", entry.command))
 		}
 	}
-	for _, entry := range singles() {
+	for _, entry := range topLevelCommands() {
 		mustCommand(parser.AddCommand(entry.name, entry.short, "", entry.command))
 	}
 	parser.CommandHandler = func(found flags.Commander, _ []string) error {
@@ -89,13 +90,13 @@
 
 func mustGroup(_ *flags.Group, err error) {
 	if err != nil {
-		panic(err) // a mistake in the tags of the options
+		panic(err) // invalid struct tags of the options
 	}
 }
 
 func mustCommand(added *flags.Command, err error) *flags.Command {
 	if err != nil {
-		panic(err) // a mistake in the tags of a command
+		panic(err) // invalid struct tags of a command
 	}
 	return added
 }
--- a/internal/ctl/rollout.go
+++ b/internal/ctl/rollout.go
@@ -9,25 +9,25 @@
 	"github.com/samber/lo"
 )
 
-// rolloutPause is the time between two rounds of questions.
-const rolloutPause = 500 * time.Millisecond
+// rolloutPollInterval is the time between two queries of the nodes.
+const rolloutPollInterval = 500 * time.Millisecond
 
-// nodeOptions name nodes.
+// nodeOptions holds the flag that names nodes.
 type nodeOptions struct {
 	Nodes []string `long:"node" value-name:"IP:PORT" description:"Ask this node (control address) instead of those in the platform's list; may be repeated."`
 }
 
 // rollout waits until a revision is in force at all nodes.
 type rollout struct {
-	base
+	commandBase
 	nodeOptions
 	Revision uint64 `long:"revision" value-name:"N" description:"Revision to wait for; without it the last accepted one."`
 }
 
-// rolloutJSON is a rollout for scripts.
+// rolloutJSON is the JSON output of rollout.
 type rolloutJSON struct {
 	Revision uint64       `json:"revision"`
-	InForce  int          `json:"in_force"` // nodes at the revision or above it
+	InForce  int          `json:"in_force"` // number of nodes at this revision or a later one
 	Nodes    []nodeReport `json:"nodes"`
 }
 
@@ -38,7 +38,7 @@
 	if err != nil {
 		return err
 	}
-	revision, err := c.wanted(ctx, s)
+	revision, err := c.targetRevision(ctx, s)
 	if err != nil {
 		return err
 	}
@@ -46,11 +46,11 @@
 	if err != nil {
 		return err
 	}
-	reports = s.follow(ctx, nodes, reports, revision)
+	reports = s.awaitRevision(ctx, nodes, reports, revision)
 	return s.showRollout(revision, reports)
 }
 
-func (c *rollout) wanted(ctx context.Context, s *session) (uint64, error) {
+func (c *rollout) targetRevision(ctx context.Context, s *session) (uint64, error) {
 	if c.Revision != 0 {
 		return c.Revision, nil
 	}
@@ -65,19 +65,19 @@
 	return head.Revision, nil
 }
 
-// follow asks the nodes that lack the revision again and again until all have
-// it or the time is up.
-func (s *session) follow(ctx context.Context, nodes Nodes, reports []nodeReport, revision uint64) []nodeReport {
-	reports = ask(ctx, nodes, reports)
+// awaitRevision polls the nodes that lack the revision until all have it or the
+// context ends.
+func (s *session) awaitRevision(ctx context.Context, nodes Nodes, reports []nodeReport, revision uint64) []nodeReport {
+	reports = queryNodes(ctx, nodes, reports)
 	for countInForce(reports, revision) < len(reports) {
-		if s.Sleep(ctx, rolloutPause) != nil {
+		if s.Sleep(ctx, rolloutPollInterval) != nil {
 			return reports
 		}
-		behind := lo.Filter(reports, func(r nodeReport, _ int) bool { return r.Revision < revision })
-		fresh := lo.KeyBy(ask(ctx, nodes, behind), func(r nodeReport) any { return r.Control })
-		for place, report := range reports {
-			if news, ok := fresh[report.Control]; ok {
-				reports[place] = news
+		outdated := lo.Filter(reports, func(r nodeReport, _ int) bool { return r.Revision < revision })
+		updates := lo.KeyBy(queryNodes(ctx, nodes, outdated), func(r nodeReport) any { return r.Control })
+		for i, report := range reports {
+			if updated, ok := updates[report.Control]; ok {
+				reports[i] = updated
 			}
 		}
 	}
@@ -90,14 +90,14 @@
 
 func (s *session) showRollout(revision uint64, reports []nodeReport) error {
 	inForce := countInForce(reports, revision)
-	people := &table{columns: []string{"NODE", "VM", "ROLE", "ZONE", "REVISION", "ERROR"}}
+	rows := &table{columns: []string{"NODE", "VM", "ROLE", "ZONE", "REVISION", "ERROR"}}
 	for _, r := range reports {
-		people.add(string(r.Control), orDash(r.VM), orDash(string(r.Role)), orDash(string(r.Zone)), fmt.Sprint(r.Revision), orDash(r.Error))
+		rows.add(string(r.Control), orDash(r.VM), orDash(string(r.Role)), orDash(string(r.Zone)), fmt.Sprint(r.Revision), orDash(r.Error))
 	}
 	if s.options.Output != outputJSON {
 		fmt.Fprintf(s.Stdout, "revision %d is in force at %d of %d nodes\n", revision, inForce, len(reports))
 	}
-	if err := s.show(rolloutJSON{Revision: revision, InForce: inForce, Nodes: reports}, people); err != nil {
+	if err := s.show(rolloutJSON{Revision: revision, InForce: inForce, Nodes: reports}, rows); err != nil {
 		return err
 	}
 	if inForce < len(reports) {
--- a/internal/ctl/routers.go
+++ b/internal/ctl/routers.go
@@ -19,14 +19,14 @@
 	"github.com/bluebellchute/bluebellchute/platform"
 )
 
-// routerCallTimeout bounds one call to a router: entries of routers that are
-// gone stay in the store for a while.
+// routerCallTimeout bounds one call to a router, since the store still lists
+// stopped routers for a while.
 const routerCallTimeout = 2 * time.Second
 
-// store returns the operators' part of the platform's store.
+// store returns the operators' interface of the platform's store.
 func (s *session) store() (platform.Operators, error) {
 	if s.options.Store == "" {
-		return platform.Operators{}, usageErrorf("name the store with --store or BLUEBELL_STORE")
+		return platform.Operators{}, usageErrorf("specify the store's address with --store or BLUEBELL_STORE")
 	}
 	logger := logrus.New()
 	logger.SetOutput(s.Stderr)
@@ -39,40 +39,41 @@
 	return peeringpb.NewOperationProtobufClient("http://"+string(address), client)
 }
 
-// routerReport is one router with what it says of itself.
+// routerReport is one router with the status that it reports.
 type routerReport struct {
-	Router   fleet.Address `json:"router"`
-	VM       string        `json:"vm,omitempty"`
-	Zone     fleet.Zone    `json:"zone,omitempty"`
-	Version  uint64        `json:"version"`
-	Age      time.Duration `json:"config_age_ns"` // since the version was confirmed
-	Backends uint32        `json:"backends"`
-	Running  uint32        `json:"running"`
-	Follows  bool          `json:"follows"`
-	NotReady string        `json:"not_ready,omitempty"`
-	Error    string        `json:"error,omitempty"` // why it does not answer
+	Router       fleet.Address `json:"router"`
+	VM           string        `json:"vm,omitempty"`
+	Zone         fleet.Zone    `json:"zone,omitempty"`
+	Version      uint64        `json:"version"`
+	Age          time.Duration `json:"config_age_ns"` // time since the version was confirmed
+	Backends     uint32        `json:"backends"`
+	Running      uint32        `json:"running"`
+	WatchesStore bool          `json:"follows"`
+	NotReady     string        `json:"not_ready,omitempty"`
+	Error        string        `json:"error,omitempty"` // why the router doesn't reply
 
-	Evacuated []fleet.Zone `json:"evacuated,omitempty"` // zones to which it sends nothing
+	Evacuated []fleet.Zone `json:"evacuated,omitempty"` // zones to which the router sends nothing
 
-	uses []*peeringpb.AccountUse
+	usages []*peeringpb.AccountUse
 }
 
-// routerOptions name the routers to ask.
+// routerOptions holds the flag that names routers.
 type routerOptions struct {
 	Routers []string `long:"router" value-name:"IP:PORT" description:"A router, in place of those that the store lists; may be repeated."`
 }
 
-// reports asks the routers that are named or that the store lists.
+// reports queries the named routers, or else those that the store lists.
 func (o routerOptions) reports(ctx context.Context, s *session) ([]routerReport, error) {
 	reports, err := o.list(ctx, s)
 	if err != nil {
 		return nil, err
 	}
-	askRouters(ctx, reports)
+	queryRouters(ctx, reports)
 	return reports, nil
 }
 
-// list returns the routers that are named or that the store lists, not yet asked.
+// list returns the named routers, or else those that the store lists, without
+// querying them.
 func (o routerOptions) list(ctx context.Context, s *session) ([]routerReport, error) {
 	var reports []routerReport
 	for _, address := range o.Routers {
@@ -87,7 +88,7 @@
 	}
 	entries, err := store.Routers(ctx)
 	if err != nil {
-		return nil, errors.WithMessage(err, "listing the routers; --router names them in an outage of the store")
+		return nil, errors.WithMessage(err, "listing the routers; during an outage of the store, --router names them")
 	}
 	for _, entry := range entries {
 		reports = append(reports, routerReport{Router: entry.Address, VM: entry.VM, Zone: entry.Zone})
@@ -95,19 +96,19 @@
 	return reports, nil
 }
 
-func askRouters(ctx context.Context, reports []routerReport) {
+func queryRouters(ctx context.Context, reports []routerReport) {
 	var group errgroup.Group
-	group.SetLimit(statusCalls)
-	for place := range reports {
+	group.SetLimit(maxStatusCalls)
+	for i := range reports {
 		group.Go(func() error {
-			reports[place].ask(ctx)
+			reports[i].query(ctx)
 			return nil
 		})
 	}
 	_ = group.Wait() // the functions return no error
 }
 
-func (r *routerReport) ask(ctx context.Context) {
+func (r *routerReport) query(ctx context.Context) {
 	reply, err := routerAt(r.Router).Status(ctx, &peeringpb.StatusRequest{})
 	if err != nil {
 		r.Error = err.Error()
@@ -115,9 +116,9 @@
 	}
 	r.VM, r.Zone = reply.Vm, fleet.Zone(reply.Zone)
 	r.Version, r.Age = reply.Version, time.Duration(reply.ConfigAge)
-	r.Backends, r.Running, r.Follows, r.NotReady = reply.Backends, reply.Running, reply.Follows, reply.NotReady
+	r.Backends, r.Running, r.WatchesStore, r.NotReady = reply.Backends, reply.Running, reply.Follows, reply.NotReady
 	r.Evacuated = lo.Map(reply.Evacuated, func(zone string, _ int) fleet.Zone { return fleet.Zone(zone) })
-	r.uses = reply.Uses
+	r.usages = reply.Uses
 }
 
 func (r *routerReport) state() string {
@@ -130,15 +131,15 @@
 	return "ready"
 }
 
-// silentRouters returns an error when some routers did not answer.
-func silentRouters(reports []routerReport) error {
-	silent := lo.CountBy(reports, func(r routerReport) bool { return r.Error != "" })
-	return incomplete(silent, len(reports), "routers")
+// unreachableError returns an error if some routers didn't reply.
+func unreachableError(reports []routerReport) error {
+	unanswered := lo.CountBy(reports, func(r routerReport) bool { return r.Error != "" })
+	return incompleteError(unanswered, len(reports), "routers")
 }
 
 // routerList shows the routers.
 type routerList struct {
-	base
+	commandBase
 	routerOptions
 }
 
@@ -149,76 +150,78 @@
 	if err != nil {
 		return err
 	}
-	people := &table{columns: []string{"ROUTER", "VM", "ZONE", "VERSION", "AGE", "BACKENDS", "RUNNING", "FOLLOWS", "STATE"}}
+	rows := &table{columns: []string{"ROUTER", "VM", "ZONE", "VERSION", "AGE", "BACKENDS", "RUNNING", "FOLLOWS", "STATE"}}
 	for _, r := range reports {
-		people.add(string(r.Router), orDash(r.VM), orDash(string(r.Zone)), fmt.Sprint(r.Version),
-			r.Age.Round(time.Millisecond).String(), fmt.Sprint(r.Backends), fmt.Sprint(r.Running), fmt.Sprint(r.Follows), r.state())
+		rows.add(string(r.Router), orDash(r.VM), orDash(string(r.Zone)), fmt.Sprint(r.Version),
+			r.Age.Round(time.Millisecond).String(), fmt.Sprint(r.Backends), fmt.Sprint(r.Running), fmt.Sprint(r.WatchesStore), r.state())
 	}
-	if err := s.show(reports, people); err != nil {
+	if err := s.show(reports, rows); err != nil {
 		return err
 	}
-	return silentRouters(reports)
+	return unreachableError(reports)
 }
 
-// accountUse is what an account asked and got of late at all routers.
-type accountUse struct {
-	Account fleet.Account `json:"account"`
-	Asked   float64       `json:"asked"` // tokens; sums that decay over two seconds
-	Got     float64       `json:"got"`
+// accountUsage is what an account recently requested and was granted at all
+// routers.
+type accountUsage struct {
+	Account   fleet.Account `json:"account"`
+	Requested float64       `json:"asked"` // tokens; both counts decay over two seconds
+	Granted   float64       `json:"got"`
 }
 
-// accountUses shows what accounts ask and get.
-type accountUses struct {
-	base
+// accountUsesCommand shows what accounts recently requested and were granted.
+type accountUsesCommand struct {
+	commandBase
 	routerOptions
 }
 
-func (c *accountUses) run(s *session) error {
+func (c *accountUsesCommand) run(s *session) error {
 	ctx, cancel := s.context()
 	defer cancel()
 	reports, err := c.reports(ctx, s)
 	if err != nil {
 		return err
 	}
-	uses := sumUses(reports)
-	people := &table{columns: []string{"ACCOUNT", "ASKED", "GOT"}}
-	for _, use := range uses {
-		people.add(string(use.Account), fmt.Sprintf("%.0f", use.Asked), fmt.Sprintf("%.0f", use.Got))
+	usages := sumUsages(reports)
+	rows := &table{columns: []string{"ACCOUNT", "ASKED", "GOT"}}
+	for _, use := range usages {
+		rows.add(string(use.Account), fmt.Sprintf("%.0f", use.Requested), fmt.Sprintf("%.0f", use.Granted))
 	}
-	if err := s.show(uses, people); err != nil {
+	if err := s.show(usages, rows); err != nil {
 		return err
 	}
-	return silentRouters(reports)
+	return unreachableError(reports)
 }
 
-// sumUses returns the accounts' uses over all routers, the greatest first.
-func sumUses(reports []routerReport) []accountUse {
-	sums := make(map[string]*accountUse)
+// sumUsages returns the accounts' usage over all routers, in descending order of
+// requested tokens.
+func sumUsages(reports []routerReport) []accountUsage {
+	sums := make(map[string]*accountUsage)
 	for _, report := range reports {
-		for _, use := range report.uses {
+		for _, use := range report.usages {
 			sum := sums[use.Account]
 			if sum == nil {
-				sum = &accountUse{Account: fleet.Account(use.Account)}
+				sum = &accountUsage{Account: fleet.Account(use.Account)}
 				sums[use.Account] = sum
 			}
-			sum.Asked += float64(use.Asked)
-			sum.Got += float64(use.Got)
+			sum.Requested += float64(use.Asked)
+			sum.Granted += float64(use.Got)
 		}
 	}
-	uses := make([]accountUse, 0, len(sums))
+	usages := make([]accountUsage, 0, len(sums))
 	for _, sum := range sums {
-		uses = append(uses, *sum)
+		usages = append(usages, *sum)
 	}
-	slices.SortFunc(uses, func(a, b accountUse) int {
-		return cmp.Or(cmp.Compare(b.Asked, a.Asked), cmp.Compare(a.Account, b.Account))
+	slices.SortFunc(usages, func(a, b accountUsage) int {
+		return cmp.Or(cmp.Compare(b.Requested, a.Requested), cmp.Compare(a.Account, b.Account))
 	})
-	return uses
+	return usages
 }
 
-// routerDrain lets a router leave new callers to the others.
+// routerDrain drains a router, so that new callers go to the other routers.
 type routerDrain struct {
-	base
-	who
+	commandBase
+	operatorOptions
 	Reason     string `long:"reason" description:"Why, for the audit trail."`
 	Undo       bool   `long:"undo" description:"Take new callers again."`
 	Positional struct {
@@ -226,8 +229,8 @@
 	} `positional-args:"true"`
 }
 
-// run records the order before it gives it, so that none is carried out that
-// the audit trail lacks.
+// run records the order before it sends it, so that no order is carried out
+// without an entry in the audit trail.
 func (c *routerDrain) run(s *session) error {
 	ctx, cancel := s.context()
 	defer cancel()
@@ -242,11 +245,11 @@
 		Router:   fleet.Address(c.Positional.Router),
 	}
 	if err := store.Record(ctx, order); err != nil {
-		return errors.WithMessage(err, "the order was not given, as it could not be recorded")
+		return errors.WithMessage(err, "the order was not sent, since it could not be recorded")
 	}
 	reply, err := routerAt(order.Router).Drain(ctx, &peeringpb.DrainRequest{Undo: c.Undo, Operator: order.Operator, Reason: c.Reason})
 	if err != nil {
-		cause := errors.WithMessage(err, "the order is recorded, but whether the router carries it out is not known")
+		cause := errors.WithMessage(err, "the order is recorded, but it is not known whether the router carries it out")
 		return &exitError{status: ExitUnknown, cause: cause}
 	}
 	fmt.Fprintf(s.Stdout, "%s %s; %d requests in progress\n", order.Router,
@@ -254,9 +257,9 @@
 	return nil
 }
 
-// routerOrders shows the operators' orders.
+// routerOrders shows the orders in the audit trail.
 type routerOrders struct {
-	base
+	commandBase
 	Limit int `long:"limit" default:"20" description:"Orders to show; 0 shows all that are kept."`
 }
 
@@ -274,9 +277,9 @@
 	if c.Limit > 0 {
 		orders = lo.Slice(orders, 0, c.Limit)
 	}
-	people := &table{columns: []string{"TIME", "OPERATOR", "ACTION", "ROUTER", "REASON"}}
+	rows := &table{columns: []string{"TIME", "OPERATOR", "ACTION", "ROUTER", "REASON"}}
 	for _, order := range orders {
-		people.add(order.Time.Format(time.RFC3339), order.Operator, order.Action, string(order.Router), oneLine(order.Reason))
+		rows.add(order.Time.Format(time.RFC3339), order.Operator, order.Action, string(order.Router), singleLine(order.Reason))
 	}
-	return s.show(orders, people)
+	return s.show(orders, rows)
 }
--- a/internal/ctl/routers_test.go
+++ b/internal/ctl/routers_test.go
@@ -15,7 +15,7 @@
 	"github.com/bluebellchute/bluebellchute/platform/standin"
 )
 
-// fakeRouter answers operators.
+// fakeRouter is a router's interface for operators.
 type fakeRouter struct {
 	mu      sync.Mutex
 	drained bool
@@ -46,111 +46,109 @@
 	return &peeringpb.DrainReply{Running: 2}, nil
 }
 
-// routerWorld is a stand-in store with one router.
-type routerWorld struct {
-	t       *testing.T
-	store   *standin.Store
-	router  *fakeRouter
-	address string // of the router
-	at      string // of the store
+// routerEnv is an environment with a stand-in store and one router.
+type routerEnv struct {
+	t            *testing.T
+	store        *standin.Store
+	router       *fakeRouter
+	address      string // of the router
+	storeAddress string // of the store
 }
 
-func newRouterWorld(t *testing.T) *routerWorld {
-	w := &routerWorld{t: t, store: standin.NewStore(), router: &fakeRouter{}}
-	w.address = w.serve(peeringpb.NewOperationServer(w.router))
-	w.at = w.serve(w.store)
-	w.store.Put(platform.KindRouters, "vm-1", map[string]any{"address": w.address, "zone": "z1"})
-	return w
+func newRouterEnv(t *testing.T) *routerEnv {
+	e := &routerEnv{t: t, store: standin.NewStore(), router: &fakeRouter{}}
+	e.address = e.serve(peeringpb.NewOperationServer(e.router))
+	e.storeAddress = e.serve(e.store)
+	e.store.Put(platform.KindRouters, "vm-1", map[string]any{"address": e.address, "zone": "z1"})
+	return e
 }
 
-func (w *routerWorld) serve(handler http.Handler) string {
+func (e *routerEnv) serve(handler http.Handler) string {
 	server := httptest.NewServer(handler)
-	w.t.Cleanup(server.Close)
+	e.t.Cleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// run runs a command line and returns what it prints and its exit status.
-func (w *routerWorld) run(args ...string) (string, int) {
+// run runs a command line and returns its output and exit status.
+func (e *routerEnv) run(args ...string) (string, int) {
 	var out bytes.Buffer
 	app := New()
 	app.Stdout, app.Stderr = &out, &out
-	status := app.Run(append([]string{"--store", w.at}, args...))
+	status := app.Run(append([]string{"--store", e.storeAddress}, args...))
 	return out.String(), status
 }
 
-func (w *routerWorld) want(status int, part string, args ...string) {
-	w.t.Helper()
-	out, got := w.run(args...)
+func (e *routerEnv) expect(status int, part string, args ...string) {
+	e.t.Helper()
+	out, got := e.run(args...)
 	if got != status || !strings.Contains(out, part) {
-		w.t.Errorf("%v: exit status %d, want %d with %q:\n%s", args, got, status, part, out)
+		e.t.Errorf("%v: exit status %d, want %d with %q:\n%s", args, got, status, part, out)
 	}
 }
 
 func TestRouterCommands(t *testing.T) {
-	w := newRouterWorld(t)
-	w.want(ExitSuccess, "vm-1  z1    7        400ms  3         2        true     ready", "router", "list")
-	w.want(ExitSuccess, "large    900    300\nsmall    10     10", "account", "uses")
-	w.want(ExitSuccess, "leaves new callers to others; 2 requests", "router", "drain", w.address, "--operator", "ada", "--reason", "new kernel")
-	w.want(ExitSuccess, "drained by an operator", "router", "list", "--router", w.address)
-	w.want(ExitSuccess, "takes new callers again", "router", "drain", w.address, "--undo", "--operator", "ada")
-	w.want(ExitSuccess, "new kernel", "router", "orders")
-	out, _ := w.run("router", "orders", "--output", "json")
+	e := newRouterEnv(t)
+	e.expect(ExitSuccess, "vm-1  z1    7        400ms  3         2        true     ready", "router", "list")
+	e.expect(ExitSuccess, "large    900    300\nsmall    10     10", "account", "uses")
+	e.expect(ExitSuccess, "leaves new callers to others; 2 requests", "router", "drain", e.address, "--operator", "ada", "--reason", "new kernel")
+	e.expect(ExitSuccess, "drained by an operator", "router", "list", "--router", e.address)
+	e.expect(ExitSuccess, "takes new callers again", "router", "drain", e.address, "--undo", "--operator", "ada")
+	e.expect(ExitSuccess, "new kernel", "router", "orders")
+	out, _ := e.run("router", "orders", "--output", "json")
 	if strings.Count(out, `"operator":"ada"`) != 2 || !strings.Contains(out, "undrain") {
 		t.Errorf("the audit trail lacks orders: %s", out)
 	}
-	w.store.Put(platform.KindRouters, "vm-2", map[string]any{"address": "127.0.0.1:1", "zone": "z1"})
-	w.want(ExitIncomplete, "1 of 2 routers don't answer", "router", "list")
+	e.store.Put(platform.KindRouters, "vm-2", map[string]any{"address": "127.0.0.1:1", "zone": "z1"})
+	e.expect(ExitIncomplete, "1 of 2 routers don't answer", "router", "list")
 }
 
-// Symptom: a router is drained and nobody knows who did it.
-// Events: the store is down while an operator gives the order.
-// Cause: the order went out although it could not be recorded.
-// An order that no router knows yet, one in force, and one that was withdrawn but that a
-// router still keeps to are told apart.
+// Guards against confusing an order that no router applies yet, one in force, and one
+// that was withdrawn but that a router still applies.
 func TestEvacuationsAreShown(t *testing.T) {
-	w := newRouterWorld(t)
-	w.store.Put(platform.KindEvacuations, "z1", map[string]any{})
-	w.store.Put(platform.KindEvacuations, "z2", map[string]any{"operator": "ada"})
-	w.want(ExitSuccess, "z1    3         0 of 1    {}\nz2    4         1 of 1    {\"operator\":\"ada\"}\nz9    0         1 of 1    -", "router", "evacuations")
+	e := newRouterEnv(t)
+	e.store.Put(platform.KindEvacuations, "z1", map[string]any{})
+	e.store.Put(platform.KindEvacuations, "z2", map[string]any{"operator": "ada"})
+	e.expect(ExitSuccess, "z1    3         0 of 1    {}\nz2    4         1 of 1    {\"operator\":\"ada\"}\nz9    0         1 of 1    -", "router", "evacuations")
 }
 
+// Guards against a drained router without an entry in the audit trail: an order that
+// can't be recorded, because the store is down, must not be sent.
 func TestOrderThatIsNotRecordedIsNotGiven(t *testing.T) {
-	w := newRouterWorld(t)
-	w.store.SetFaults(standin.Faults{Status: http.StatusServiceUnavailable})
-	w.want(ExitFailure, "the order was not given", "router", "drain", w.address)
-	w.want(ExitFailure, "--router names them", "router", "list")
-	w.want(ExitSuccess, "vm-1", "router", "list", "--router", w.address)
-	if w.router.orders != 0 {
-		t.Error("the router was told")
+	e := newRouterEnv(t)
+	e.store.SetFaults(standin.Faults{Status: http.StatusServiceUnavailable})
+	e.expect(ExitFailure, "the order was not sent", "router", "drain", e.address)
+	e.expect(ExitFailure, "--router names them", "router", "list")
+	e.expect(ExitSuccess, "vm-1", "router", "list", "--router", e.address)
+	if e.router.orders != 0 {
+		t.Error("the order was sent to the router")
 	}
 }
 
-// Symptom: an order stands twice in the audit trail, or counts as not recorded
-// though it is.
-// Events: the store keeps the record and its reply is lost.
-// Cause: the record was tried again under another name.
+// Guards against an order that is recorded twice, or that counts as not recorded
+// although it is: the store keeps the record and the reply is lost, and a retry must
+// use the same name.
 func TestLostReplyToARecord(t *testing.T) {
-	w := newRouterWorld(t)
-	w.store.SetFaults(standin.Faults{LoseReplies: true})
-	time.AfterFunc(50*time.Millisecond, func() { w.store.SetFaults(standin.Faults{}) })
-	w.want(ExitSuccess, "leaves new callers", "router", "drain", w.address, "--reason", "once")
-	if out, _ := w.run("router", "orders"); strings.Count(out, "once") != 1 {
+	e := newRouterEnv(t)
+	e.store.SetFaults(standin.Faults{LoseReplies: true})
+	time.AfterFunc(50*time.Millisecond, func() { e.store.SetFaults(standin.Faults{}) })
+	e.expect(ExitSuccess, "leaves new callers", "router", "drain", e.address, "--reason", "once")
+	if out, _ := e.run("router", "orders"); strings.Count(out, "once") != 1 {
 		t.Errorf("the audit trail: %s", out)
 	}
 }
 
 func TestRecordWhoseRepliesAreAllLost(t *testing.T) {
-	w := newRouterWorld(t)
-	w.store.SetFaults(standin.Faults{LoseReplies: true})
-	w.want(ExitFailure, "not known whether the record was kept", "router", "drain", w.address)
-	if w.router.orders != 0 {
-		t.Error("the router was told")
+	e := newRouterEnv(t)
+	e.store.SetFaults(standin.Faults{LoseReplies: true})
+	e.expect(ExitFailure, "not known whether the record was kept", "router", "drain", e.address)
+	if e.router.orders != 0 {
+		t.Error("the order was sent to the router")
 	}
 }
 
-func TestRouterThatDoesNotAnswerAnOrder(t *testing.T) {
-	w := newRouterWorld(t)
-	w.want(ExitUnknown, "is not known", "router", "drain", "127.0.0.1:1")
+func TestRouterThatDoesNotReplyToAnOrder(t *testing.T) {
+	e := newRouterEnv(t)
+	e.expect(ExitUnknown, "is not known", "router", "drain", "127.0.0.1:1")
 }
 
 func TestStoreMustBeNamed(t *testing.T) {
--- a/internal/ctl/session.go
+++ b/internal/ctl/session.go
@@ -13,7 +13,7 @@
 	"github.com/bluebellchute/bluebellchute/internal/settings"
 )
 
-// globalOptions apply to all commands.
+// globalOptions holds the flags of all commands.
 type globalOptions struct {
 	Config   string        `long:"config" value-name:"FILE" env:"BLUEBELL_CONFIG" description:"INI file with [platform] address and [control] token."`
 	Platform string        `long:"platform" value-name:"IP:PORT" env:"BLUEBELL_PLATFORM" description:"Address of the platform's object API; goes before the file."`
@@ -29,7 +29,7 @@
 	Control  daemon.ControlSection  `section:"control" doc:"Control messages between the nodes."`
 }
 
-// session is one run of a command.
+// session is the execution of one command.
 type session struct {
 	*App
 	options globalOptions
@@ -40,20 +40,20 @@
 	return context.WithTimeout(context.Background(), s.options.Timeout)
 }
 
-// access is where the platform and the nodes are reached.
-type access struct {
+// endpoints holds the platform's address and the token of the nodes.
+type endpoints struct {
 	platform fleet.Address
 	token    string
 }
 
-func (s *session) access() (access, error) {
-	found := access{platform: fleet.Address(s.options.Platform), token: s.options.Token}
+func (s *session) endpoints() (endpoints, error) {
+	found := endpoints{platform: fleet.Address(s.options.Platform), token: s.options.Token}
 	if s.options.Config == "" {
 		return found, nil
 	}
 	var file fileConfig
 	if err := inifile.Read(s.options.Config, &file); err != nil {
-		return access{}, &exitError{status: ExitUsage, cause: err}
+		return endpoints{}, &exitError{status: ExitUsage, cause: err}
 	}
 	if found.platform == "" {
 		found.platform = file.Platform.Address
@@ -65,23 +65,23 @@
 }
 
 func (s *session) platform() (platform.API, error) {
-	found, err := s.access()
+	found, err := s.endpoints()
 	if err != nil {
 		return nil, err
 	}
 	if found.platform == "" {
-		return nil, usageErrorf("name the platform with --platform, --config or BLUEBELL_PLATFORM")
+		return nil, usageErrorf("specify the platform's address with --platform, --config or BLUEBELL_PLATFORM")
 	}
 	return s.OpenPlatform(found.platform), nil
 }
 
 func (s *session) nodes() (Nodes, error) {
-	found, err := s.access()
+	found, err := s.endpoints()
 	if err != nil {
 		return nil, err
 	}
 	if found.token == "" {
-		return nil, usageErrorf("name the nodes' secret with --token, --config or BLUEBELL_TOKEN")
+		return nil, usageErrorf("specify the nodes' secret with --token, --config or BLUEBELL_TOKEN")
 	}
 	return s.OpenNodes(found.token), nil
 }
@@ -98,8 +98,8 @@
 	return editor, nil
 }
 
-// read reads the settings as they are now.
-func (s *session) read(ctx context.Context) (*settings.Editor, settings.Snapshot, error) {
+// readSettings reads the current settings.
+func (s *session) readSettings(ctx context.Context) (*settings.Editor, settings.Snapshot, error) {
 	editor, err := s.editor()
 	if err != nil {
 		return nil, settings.Snapshot{}, err
--- a/internal/ctl/settings_edit.go
+++ b/internal/ctl/settings_edit.go
@@ -9,9 +9,9 @@
 	"github.com/bluebellchute/bluebellchute/internal/settings"
 )
 
-// settingsSet sets values of a node.
+// settingsSet sets values at a node.
 type settingsSet struct {
-	base
+	commandBase
 	editOptions
 	Create     bool `long:"create" description:"Create the node when it does not exist."`
 	Positional struct {
@@ -26,18 +26,18 @@
 		return err
 	}
 	if len(values) == 0 && !c.Create {
-		return usageErrorf("name at least one KEY=VALUE, or --create")
+		return usageErrorf("specify at least one KEY=VALUE, or --create")
 	}
 	path := settings.Path(c.Positional.Path)
 	return s.edit(c.editOptions, "", func(tree *settings.Tree) ([]settings.Change, error) {
 		if c.Create && !tree.Has(path) {
 			return []settings.Change{{Op: settings.OpCreate, Path: path, Settings: values}}, nil
 		}
-		return setAll(path, values), nil
+		return setChanges(path, values), nil
 	})
 }
 
-func setAll(path settings.Path, values []settings.Setting) []settings.Change {
+func setChanges(path settings.Path, values []settings.Setting) []settings.Change {
 	var changes []settings.Change
 	for _, value := range values {
 		changes = append(changes, settings.Change{Op: settings.OpSet, Path: path, Key: value.Key, After: value.Value})
@@ -58,9 +58,9 @@
 	return values, nil
 }
 
-// settingsUnset removes values of a node, or the node.
+// settingsUnset removes values from a node, or removes the node.
 type settingsUnset struct {
-	base
+	commandBase
 	editOptions
 	Node       bool `long:"node" description:"Remove the node itself."`
 	Recursive  bool `long:"recursive" description:"With --node: and all nodes below it."`
@@ -72,12 +72,12 @@
 
 func (c *settingsUnset) run(s *session) error {
 	if c.Node == (len(c.Positional.Keys) > 0) {
-		return usageErrorf("name the keys to remove, or --node")
+		return usageErrorf("specify the keys to remove, or --node")
 	}
 	path := settings.Path(c.Positional.Path)
 	return s.edit(c.editOptions, "", func(tree *settings.Tree) ([]settings.Change, error) {
 		if c.Node {
-			return c.removals(tree, path), nil
+			return c.removeChanges(tree, path), nil
 		}
 		var changes []settings.Change
 		for _, key := range c.Positional.Keys {
@@ -87,23 +87,24 @@
 	})
 }
 
-// removals removes the node, with --recursive the deepest nodes first.
-func (c *settingsUnset) removals(tree *settings.Tree, path settings.Path) []settings.Change {
-	doomed := []settings.Path{path}
+// removeChanges returns the changes that remove the node. With --recursive, they
+// include all nodes below it, the deepest first.
+func (c *settingsUnset) removeChanges(tree *settings.Tree, path settings.Path) []settings.Change {
+	paths := []settings.Path{path}
 	if c.Recursive {
-		doomed = slices.DeleteFunc(tree.Paths(), func(candidate settings.Path) bool { return !path.Contains(candidate) })
-		slices.Reverse(doomed)
+		paths = slices.DeleteFunc(tree.Paths(), func(candidate settings.Path) bool { return !path.Contains(candidate) })
+		slices.Reverse(paths)
 	}
 	var changes []settings.Change
-	for _, path := range doomed {
+	for _, path := range paths {
 		changes = append(changes, settings.Change{Op: settings.OpRemove, Path: path})
 	}
 	return changes
 }
 
-// settingsMove moves a node and all below it.
+// settingsMove moves a node and all nodes below it.
 type settingsMove struct {
-	base
+	commandBase
 	editOptions
 	Positional struct {
 		Path string `positional-arg-name:"PATH" required:"true"`
@@ -118,9 +119,9 @@
 	})
 }
 
-// settingsImport makes the tree equal to a text form.
+// settingsImport makes the tree equal to its text form in a file.
 type settingsImport struct {
-	base
+	commandBase
 	editOptions
 	Positional struct {
 		File string `positional-arg-name:"FILE" required:"true" description:"Text form; - reads standard input."`
@@ -137,7 +138,7 @@
 	})
 }
 
-// readText reads a text form from a file or from standard input.
+// readText reads a tree in text form from a file or from standard input.
 func (s *session) readText(name string) (*settings.Tree, error) {
 	const standardInput = "-"
 	var text []byte
--- a/internal/ctl/settings_keys.go
+++ b/internal/ctl/settings_keys.go
@@ -9,9 +9,9 @@
 )
 
 // settingsKeys describes the keys of the settings.
-type settingsKeys struct{ base }
+type settingsKeys struct{ commandBase }
 
-// keyJSON is a key's description for scripts.
+// keyJSON is the description of a key in the JSON output.
 type keyJSON struct {
 	Name      settings.KeyName    `json:"name"`
 	Type      settings.ValueType  `json:"type"`
@@ -24,16 +24,16 @@
 }
 
 func (c *settingsKeys) run(s *session) error {
-	people := &table{columns: []string{"KEY", "DEFAULT", "UNIT", "ALLOWED", "MAY STAND AT", "MEANING"}}
+	rows := &table{columns: []string{"KEY", "DEFAULT", "UNIT", "ALLOWED", "MAY STAND AT", "MEANING"}}
 	var shown []keyJSON
 	for _, key := range settings.Keys() {
-		people.add(keyCells(key)...)
+		rows.add(keyCells(key)...)
 		shown = append(shown, keyJSON{
 			Name: key.Name, Type: key.Type, Unit: key.Unit, Default: key.Default, Allowed: key.Allowed(),
 			Nodes: key.NodeKinds, Inherited: key.Inherited, Doc: key.Doc,
 		})
 	}
-	return s.show(shown, people)
+	return s.show(shown, rows)
 }
 
 func keyCells(key settings.Key) []string {
--- a/internal/ctl/settings_read.go
+++ b/internal/ctl/settings_read.go
@@ -6,7 +6,7 @@
 
 // settingsGet shows the values in force at a node.
 type settingsGet struct {
-	base
+	commandBase
 	Own        bool `long:"own" description:"Only what the node sets itself."`
 	Positional struct {
 		Path string   `positional-arg-name:"PATH" required:"true"`
@@ -17,7 +17,7 @@
 func (c *settingsGet) run(s *session) error {
 	ctx, cancel := s.context()
 	defer cancel()
-	_, snapshot, err := s.read(ctx)
+	_, snapshot, err := s.readSettings(ctx)
 	if err != nil {
 		return err
 	}
@@ -26,19 +26,19 @@
 	if err != nil {
 		return err
 	}
-	people := &table{columns: []string{"KEY", "VALUE", "FROM"}}
+	rows := &table{columns: []string{"KEY", "VALUE", "FROM"}}
 	shown := []settings.Explanation{}
 	for _, explanation := range explanations {
 		if c.Own && explanation.From != path {
 			continue
 		}
 		shown = append(shown, explanation)
-		people.add(string(explanation.Key), orDash(explanation.Value), origin(explanation))
+		rows.add(string(explanation.Key), orDash(explanation.Value), origin(explanation))
 	}
-	return s.show(shown, people)
+	return s.show(shown, rows)
 }
 
-// keys returns the keys asked for, or all that apply to the node.
+// keys returns the requested keys, or all that apply to the node.
 func (c *settingsGet) keys(tree *settings.Tree, path settings.Path) []settings.KeyName {
 	var names []settings.KeyName
 	for _, name := range c.Positional.Keys {
@@ -76,7 +76,7 @@
 
 // settingsExplain shows where a value in force comes from.
 type settingsExplain struct {
-	base
+	commandBase
 	Positional struct {
 		Path string `positional-arg-name:"PATH" required:"true"`
 		Key  string `positional-arg-name:"KEY" required:"true"`
@@ -86,7 +86,7 @@
 func (c *settingsExplain) run(s *session) error {
 	ctx, cancel := s.context()
 	defer cancel()
-	_, snapshot, err := s.read(ctx)
+	_, snapshot, err := s.readSettings(ctx)
 	if err != nil {
 		return err
 	}
@@ -94,22 +94,22 @@
 	if err != nil {
 		return err
 	}
-	people := &table{columns: []string{"VALUE", "FROM", ""}}
-	people.add(orDash(explanation.Value), origin(explanation), "in force")
+	rows := &table{columns: []string{"VALUE", "FROM", ""}}
+	rows.add(orDash(explanation.Value), origin(explanation), "in force")
 	for _, source := range explanation.Overridden {
 		from := string(source.Path)
 		if from == "" {
 			from = "default"
 		}
-		people.add(source.Value, from, "overridden")
+		rows.add(source.Value, from, "overridden")
 	}
-	return s.show(explanation, people)
+	return s.show(explanation, rows)
 }
 
 // settingsExport prints the tree's text form.
-type settingsExport struct{ base }
+type settingsExport struct{ commandBase }
 
-// exportJSON is an export for scripts.
+// exportJSON is the JSON output of export.
 type exportJSON struct {
 	Revision uint64 `json:"revision"`
 	Text     string `json:"text"`
@@ -118,7 +118,7 @@
 func (c *settingsExport) run(s *session) error {
 	ctx, cancel := s.context()
 	defer cancel()
-	_, snapshot, err := s.read(ctx)
+	_, snapshot, err := s.readSettings(ctx)
 	if err != nil {
 		return err
 	}
@@ -132,7 +132,7 @@
 
 // settingsDiff shows what an import would change.
 type settingsDiff struct {
-	base
+	commandBase
 	Positional struct {
 		File string `positional-arg-name:"FILE" required:"true" description:"Text form; - reads standard input."`
 	} `positional-args:"true"`
@@ -145,7 +145,7 @@
 	}
 	ctx, cancel := s.context()
 	defer cancel()
-	_, snapshot, err := s.read(ctx)
+	_, snapshot, err := s.readSettings(ctx)
 	if err != nil {
 		return err
 	}
--- a/internal/ctl/status.go
+++ b/internal/ctl/status.go
@@ -8,7 +8,7 @@
 
 // status shows the nodes of the fleet.
 type status struct {
-	base
+	commandBase
 	nodeOptions
 }
 
@@ -23,17 +23,17 @@
 	if err != nil {
 		return err
 	}
-	reports = ask(ctx, nodes, reports)
-	people := &table{columns: []string{"NODE", "VM", "ROLE", "ZONE", "SERVICE", "SLOTS", "RUNNING", "WAITING", "REVISION", "STATE"}}
+	reports = queryNodes(ctx, nodes, reports)
+	rows := &table{columns: []string{"NODE", "VM", "ROLE", "ZONE", "SERVICE", "SLOTS", "RUNNING", "WAITING", "REVISION", "STATE"}}
 	for _, r := range reports {
-		people.add(string(r.Control), orDash(r.VM), orDash(string(r.Role)), orDash(string(r.Zone)), orDash(string(r.Service)),
+		rows.add(string(r.Control), orDash(r.VM), orDash(string(r.Role)), orDash(string(r.Zone)), orDash(string(r.Service)),
 			fmt.Sprint(r.Slots), fmt.Sprint(r.Running), fmt.Sprint(r.Waiting), fmt.Sprint(r.Revision), r.state())
 	}
-	if err := s.show(reports, people); err != nil {
+	if err := s.show(reports, rows); err != nil {
 		return err
 	}
-	silent := lo.CountBy(reports, func(r nodeReport) bool { return r.Error != "" })
-	return incomplete(silent, len(reports), "nodes")
+	unanswered := lo.CountBy(reports, func(r nodeReport) bool { return r.Error != "" })
+	return incompleteError(unanswered, len(reports), "nodes")
 }
 
 func (r nodeReport) state() string {
