--- a/internal/platform/api.go
+++ b/internal/platform/api.go
@@ -1,5 +1,5 @@
-// Package platform reaches the platform's object API and its list of VMs. The
-// API holds everything that must outlast a process of the system.
+// Package platform accesses the platform's object API and its list of VMs. The
+// API stores everything that has to outlive a process of the system.
 package platform
 
 import (
@@ -11,30 +11,30 @@
 	"github.com/bluebellchute/bluebellchute/internal/fleet"
 )
 
-// MaxObjectBytes is the largest value that the platform holds.
+// MaxObjectBytes is the maximum size of an object's data.
 const MaxObjectBytes = 1 << 20
 
-// Version counts the changes of the whole platform. An object's version is
-// that of its last change; 0 stands for an object that does not exist.
+// Version counts the changes of the whole platform. An object's version is that
+// of its last change; 0 stands for an object that does not exist.
 type Version uint64
 
 // Errors of the platform's calls. Match them with errors.Is.
 var (
-	// ErrNotFound tells that there is no object under the key.
+	// ErrNotFound means that no object exists under the key.
 	ErrNotFound = errors.New("object not found")
-	// ErrConflict tells that the object's version is not the one expected,
-	// and that the write has had no effect.
+	// ErrConflict means that the object does not have the expected version and
+	// that the write has had no effect.
 	ErrConflict = errors.New("version conflict")
-	// ErrUnavailable tells that the platform did not take the call; a write
+	// ErrUnavailable means that the platform did not accept the call; a write
 	// has had no effect.
 	ErrUnavailable = errors.New("platform unavailable")
-	// ErrOutcomeUnknown tells that the reply was lost: a write may or may
-	// not have taken effect. Only a later read can tell.
+	// ErrOutcomeUnknown means that the reply was lost: a write may or may not
+	// have taken effect. Only a later read can show which.
 	ErrOutcomeUnknown = errors.New("outcome of the write is unknown")
-	// ErrRateLimited tells that the platform refused the call for its rate.
+	// ErrRateLimited means that the call exceeded the platform's rate limit.
 	ErrRateLimited = errors.New("platform rate limit")
-	// ErrCompacted tells that a watch asked for changes that are gone; list
-	// again.
+	// ErrCompacted means that a watch requested changes that are no longer
+	// available; the caller has to list again.
 	ErrCompacted = errors.New("watch version too old")
 )
 
@@ -51,7 +51,8 @@
 	Deleted bool
 }
 
-// VM is one entry of the platform's list of VMs, which lags behind the truth.
+// VM is an entry of the platform's list of VMs, which lags behind the actual
+// state.
 type VM struct {
 	Name  string
 	Zone  fleet.Zone
@@ -63,16 +64,16 @@
 type API interface {
 	// Get returns one object or ErrNotFound.
 	Get(ctx context.Context, key string) (Object, error)
-	// Put writes the object when its version is still expect; 0 creates it.
+	// Put writes the object if its version is still expect; 0 creates it.
 	Put(ctx context.Context, key string, data []byte, expect Version) (Version, error)
-	// Delete removes the object when its version is still expect.
+	// Delete removes the object if its version is still expect.
 	Delete(ctx context.Context, key string, expect Version) error
 	// List returns the objects whose keys begin with prefix, ordered by key,
-	// and the version at which the list was true.
+	// and the version at which the list was current.
 	List(ctx context.Context, prefix string) ([]Object, Version, error)
-	// Watch waits until an object under prefix changes after version from, at
-	// most for wait, and returns the changes in order with the version up to
-	// which they are complete.
+	// Watch waits until an object under prefix changes after version from, for
+	// wait at most. It returns the changes in order and the version up to which
+	// they are complete.
 	Watch(ctx context.Context, prefix string, from Version, wait time.Duration) ([]Change, Version, error)
 	// VMs returns the list of live and leaving VMs.
 	VMs(ctx context.Context) ([]VM, error)
--- a/internal/platform/api_test.go
+++ b/internal/platform/api_test.go
@@ -12,11 +12,11 @@
 	"github.com/bluebellchute/bluebellchute/internal/platform"
 )
 
-// callTimeout is far above what a call on loopback takes.
+// callTimeout is far longer than a call on loopback takes.
 const callTimeout = 10 * time.Second
 
-// bothForms runs a test against the store itself and through HTTP.
-func bothForms(t *testing.T, options platform.StoreOptions, test func(t *testing.T, api platform.API, store *platform.Store)) {
+// forStoreAndClient runs a test against the store itself and through HTTP.
+func forStoreAndClient(t *testing.T, options platform.StoreOptions, test func(t *testing.T, api platform.API, store *platform.Store)) {
 	t.Run("store", func(t *testing.T) {
 		store := platform.NewStore(options)
 		test(t, store, store)
@@ -65,7 +65,7 @@
 }
 
 func TestConditionalUpdates(t *testing.T) {
-	bothForms(t, platform.StoreOptions{}, func(t *testing.T, api platform.API, _ *platform.Store) {
+	forStoreAndClient(t, platform.StoreOptions{}, func(t *testing.T, api platform.API, _ *platform.Store) {
 		ctx := t.Context()
 		_, err := api.Get(ctx, "a")
 		wantError(t, err, platform.ErrNotFound)
@@ -90,7 +90,7 @@
 }
 
 func TestListAndWatch(t *testing.T) {
-	bothForms(t, platform.StoreOptions{History: 3}, func(t *testing.T, api platform.API, store *platform.Store) {
+	forStoreAndClient(t, platform.StoreOptions{History: 3}, func(t *testing.T, api platform.API, store *platform.Store) {
 		ctx := t.Context()
 		mustPut(t, api, "x/2", "two", 0)
 		mustPut(t, api, "x/1", "one", 0)
@@ -114,24 +114,22 @@
 			t.Fatalf("changes %+v", changes)
 		}
 		if watches := store.Counts().Watch; watches != 1 {
-			t.Fatalf("a waiting watch counted as %d calls", watches)
+			t.Fatalf("a waiting watch was counted as %d calls", watches)
 		}
 		_, _, err = api.Watch(ctx, "x/", 0, time.Minute)
 		wantError(t, err, platform.ErrCompacted)
 		_, upTo, err := api.Watch(ctx, "x/", last, time.Millisecond)
 		if err != nil || upTo != last {
-			t.Fatalf("an uneventful watch returned %d, %v", upTo, err)
+			t.Fatalf("a watch without changes returned %d, %v", upTo, err)
 		}
 	})
 }
 
-// TestLostReply covers a write whose reply is lost.
-// Symptom: a caller cannot tell whether its write took effect.
-// Sequence: the write takes effect; the connection closes before the reply.
-// Cause: the network or the platform's front end failed between the two.
-// The caller must hear "unknown", never "failed", and the value must be there.
+// TestLostReply guards against a write that takes effect but is reported as
+// failed because the connection closes before the reply. The client must report
+// an unknown outcome, and the value must be there.
 func TestLostReply(t *testing.T) {
-	bothForms(t, platform.StoreOptions{}, func(t *testing.T, api platform.API, store *platform.Store) {
+	forStoreAndClient(t, platform.StoreOptions{}, func(t *testing.T, api platform.API, store *platform.Store) {
 		store.SetFaults(platform.Faults{LoseReplies: 1})
 		_, err := api.Put(t.Context(), "a", []byte("1"), 0)
 		wantError(t, err, platform.ErrOutcomeUnknown)
@@ -146,12 +144,10 @@
 	})
 }
 
-// TestDown covers an outage.
-// Symptom: calls fail, waiting watches too, and nothing is written.
-// Sequence: a watch waits; the platform goes down; calls are made.
-// Cause: the platform's store is down for a while.
+// TestDown covers an outage of the platform: calls fail, including waiting
+// watches, and nothing is written.
 func TestDown(t *testing.T) {
-	bothForms(t, platform.StoreOptions{}, func(t *testing.T, api platform.API, store *platform.Store) {
+	forStoreAndClient(t, platform.StoreOptions{}, func(t *testing.T, api platform.API, store *platform.Store) {
 		waiting := make(chan error, 1)
 		go func() {
 			_, _, err := api.Watch(context.Background(), "", 0, time.Minute)
@@ -172,12 +168,10 @@
 	})
 }
 
-// TestStaleReads covers reads that are answered from an old state.
-// Symptom: a read shows an older value than one read before.
-// Sequence: a value is written, the reads freeze, it is written again.
-// Cause: a replica of the platform lags while writes go on elsewhere.
+// TestStaleReads covers reads from a lagging replica of the platform: they
+// return an older value than previous reads did, while writes take effect.
 func TestStaleReads(t *testing.T) {
-	bothForms(t, platform.StoreOptions{}, func(t *testing.T, api platform.API, store *platform.Store) {
+	forStoreAndClient(t, platform.StoreOptions{}, func(t *testing.T, api platform.API, store *platform.Store) {
 		ctx := t.Context()
 		old := mustPut(t, api, "a", "old", 0)
 		store.SetFaults(platform.Faults{Stale: true})
@@ -199,9 +193,9 @@
 }
 
 func TestSlowAndLimited(t *testing.T) {
-	stopped := time.Unix(1000, 0)
-	options := platform.StoreOptions{WritesPerSecond: 2, Now: func() time.Time { return stopped }}
-	bothForms(t, options, func(t *testing.T, api platform.API, store *platform.Store) {
+	fixedTime := time.Unix(1000, 0)
+	options := platform.StoreOptions{WritesPerSecond: 2, Now: func() time.Time { return fixedTime }}
+	forStoreAndClient(t, options, func(t *testing.T, api platform.API, store *platform.Store) {
 		mustPut(t, api, "a", "1", 0)
 		mustPut(t, api, "b", "1", 0)
 		_, err := api.Put(t.Context(), "c", nil, 0)
@@ -234,13 +228,13 @@
 	}
 	mustPut(t, store, "nodes/127.0.0.1:1", `{"VM":"vm-1","Zone":"a"}`, 0)
 	if got := state("vm-1"); got != fleet.VMLive {
-		t.Fatalf("a written node's VM is %s", got)
+		t.Fatalf("the VM of a registered node is %s", got)
 	}
 	for _, next := range []fleet.VMState{fleet.VMLeaving, platform.VMGone} {
 		before := state("vm-1")
 		store.SetVM(platform.VM{Name: "vm-1", State: next})
 		if got := state("vm-1"); got != before {
-			t.Fatalf("%s shows without the lag", got)
+			t.Fatalf("%s is visible before the lag has passed", got)
 		}
 		now = now.Add(time.Second)
 		if got := state("vm-1"); got != next {
@@ -249,10 +243,10 @@
 	}
 }
 
-// TestDialFailure covers a platform that nobody listens for: the write surely
-// had no effect, and the caller may be told so.
+// TestDialFailure covers a platform address without a listener: the write has
+// certainly had no effect, and the error must say so.
 func TestDialFailure(t *testing.T) {
-	// Nothing listens on port 1, and no system gives it away.
+	// Nothing listens on port 1, and no system assigns it automatically.
 	const address fleet.Address = "127.0.0.1:1"
 	client := platform.NewClient(address, platform.ClientOptions{CallTimeout: callTimeout})
 	_, err := client.Put(t.Context(), "a", nil, 0)
--- a/internal/platform/calls.go
+++ b/internal/platform/calls.go
@@ -10,7 +10,7 @@
 // Call is one kind of platform call.
 type Call int
 
-// The kinds of call. A watch is one call for as long as it waits.
+// The kinds of call. A watch counts as one call however long it waits.
 const (
 	CallGet Call = iota
 	CallPut
@@ -20,7 +20,8 @@
 	CallVMs
 )
 
-// CallCounts counts the calls that reached the platform, the refused ones too.
+// CallCounts counts the calls that reached the platform, including rejected
+// ones.
 type CallCounts struct {
 	Get    uint64 `json:"get"`
 	Put    uint64 `json:"put"`
@@ -30,7 +31,7 @@
 	VMs    uint64 `json:"vms"`
 }
 
-// Total is the number of all calls.
+// Total returns the number of all calls.
 func (c CallCounts) Total() uint64 {
 	return c.Get + c.Put + c.Delete + c.List + c.Watch + c.VMs
 }
@@ -52,7 +53,7 @@
 	}
 }
 
-// The rates that the platform grants by default, in calls a second.
+// The platform's default rate limits, in calls per second.
 const (
 	DefaultWritesPerSecond = 400
 	DefaultReadsPerSecond  = 2000
@@ -71,15 +72,17 @@
 	}
 }
 
-// newLimiter allows bursts of a second's worth of calls.
-func newLimiter(perSecond, standard int) *rate.Limiter {
+// newLimiter returns a limiter that allows bursts of one second's worth of
+// calls.
+func newLimiter(perSecond, defaultRate int) *rate.Limiter {
 	if perSecond == 0 {
-		perSecond = standard
+		perSecond = defaultRate
 	}
 	return rate.NewLimiter(rate.Limit(perSecond), perSecond)
 }
 
-// allow takes one call from the limit of its kind or returns ErrRateLimited.
+// allow consumes one call from the limit of its kind, or returns
+// ErrRateLimited.
 func (l limits) allow(call Call, now time.Time) error {
 	limiter := l.reads
 	if call == CallPut || call == CallDelete {
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -13,18 +13,18 @@
 	"github.com/bluebellchute/bluebellchute/internal/fleet"
 )
 
-// The time-outs of a Client. A watch is given its wait on top.
+// The timeouts of a Client. A watch adds its wait to the call timeout.
 const (
 	DefaultCallTimeout = 2 * time.Second
 	DefaultDialTimeout = 1 * time.Second
-	// idleConnection is shorter than what servers usually keep an idle
-	// connection for, so that a write seldom meets a closed one.
-	idleConnection = 5 * time.Second
+	// idleConnectionTimeout is shorter than the usual idle timeout of servers,
+	// so that a write seldom uses a connection that the server has closed.
+	idleConnectionTimeout = 5 * time.Second
 )
 
 // Client calls the platform over HTTP. It is safe for concurrent use and never
-// repeats a call by itself: a repeated conditional write would turn a lost
-// reply into a conflict with the caller's own change.
+// retries: repeating a conditional write would turn a lost reply into a
+// conflict with the caller's own change.
 type Client struct {
 	address     fleet.Address
 	callTimeout time.Duration
@@ -49,7 +49,7 @@
 		http: &fasthttp.HostClient{
 			Addr:                      string(address),
 			Dial:                      dial,
-			MaxIdleConnDuration:       idleConnection,
+			MaxIdleConnDuration:       idleConnectionTimeout,
 			MaxIdemponentCallAttempts: 1,
 			RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) {
 				return false, false
@@ -134,7 +134,7 @@
 		return err
 	}
 	if err := json.Unmarshal(reply.body, into); err != nil {
-		return errors.Wrapf(ErrUnavailable, "%s: reply not understood: %v", c.name(request), err)
+		return errors.Wrapf(ErrUnavailable, "%s: invalid reply: %v", c.describe(request), err)
 	}
 	return nil
 }
--- a/internal/platform/client_call.go
+++ b/internal/platform/client_call.go
@@ -18,40 +18,42 @@
 	args   *fasthttp.Args
 	body   []byte
 	write  bool
-	wait   time.Duration // for which the platform may hold the call
+	wait   time.Duration // time for which the platform may hold the call
 }
 
-// reply is what the platform answered.
+// reply is the platform's answer.
 type reply struct {
 	version Version
 	body    []byte
 }
 
-// outcome is the end of one call.
-type outcome struct {
+// callResult is the result of one call.
+type callResult struct {
 	reply reply
 	err   error
 }
 
-// do makes a call. It returns as soon as the context ends; the library knows
-// no contexts, so the call itself then ends unheard at its time-out.
+// do makes a call. It returns as soon as the context ends; fasthttp does not
+// support contexts, so the call itself then continues in the background until
+// its timeout.
 func (c *Client) do(ctx context.Context, request call) (reply, error) {
 	deadline := time.Now().Add(c.callTimeout + request.wait)
-	ended := make(chan outcome, 1)
+	ended := make(chan callResult, 1)
 	go func() {
 		answer, err := c.exchange(request, deadline)
-		ended <- outcome{reply: answer, err: err}
+		ended <- callResult{reply: answer, err: err}
 	}()
 	select {
 	case end := <-ended:
-		return end.reply, errors.Wrap(end.err, c.name(request))
+		return end.reply, errors.Wrap(end.err, c.describe(request))
 	case <-ctx.Done():
-		return reply{}, errors.Wrap(abandoned(ctx, request), c.name(request))
+		return reply{}, errors.Wrap(errorAfterCancel(ctx, request), c.describe(request))
 	}
 }
 
-// abandoned tells what is known of a call whose context ended first.
-func abandoned(ctx context.Context, request call) error {
+// errorAfterCancel returns the error of a call whose context ended before the
+// reply.
+func errorAfterCancel(ctx context.Context, request call) error {
 	if request.write {
 		return ErrOutcomeUnknown
 	}
@@ -67,10 +69,10 @@
 	httpRequest.SetRequestURI(fmt.Sprintf("http://%s%s?%s", c.address, request.path, request.args.QueryString()))
 	httpRequest.SetBodyRaw(request.body)
 	if err := c.http.DoDeadline(httpRequest, httpReply, deadline); err != nil {
-		return reply{}, unreached(request, err)
+		return reply{}, errorWithoutReply(request, err)
 	}
 	status := httpReply.StatusCode()
-	if err := errorOf(status); err != nil {
+	if err := errorFromStatus(status); err != nil {
 		if request.write && status == fasthttp.StatusInternalServerError {
 			return reply{}, errors.Wrap(ErrOutcomeUnknown, err.Error())
 		}
@@ -80,17 +82,17 @@
 	return reply{version: Version(version), body: slices.Clone(httpReply.Body())}, nil
 }
 
-// unreached tells what is known after a call that got no reply. A write that
-// was perhaps sent may have taken effect: to call it failed would let an
-// operator's edit show up after it was reported as not accepted.
-func unreached(request call, err error) error {
-	neverSent := errors.Is(err, errDial) || errors.Is(err, fasthttp.ErrNoFreeConns)
-	if request.write && !neverSent {
+// errorWithoutReply returns the error of a call that got no reply. A write that
+// may have been sent may have taken effect: if it were reported as failed, an
+// operator's edit could take effect after it was reported as not accepted.
+func errorWithoutReply(request call, err error) error {
+	notSent := errors.Is(err, errDial) || errors.Is(err, fasthttp.ErrNoFreeConns)
+	if request.write && !notSent {
 		return errors.Wrap(ErrOutcomeUnknown, err.Error())
 	}
 	return errors.Wrap(ErrUnavailable, err.Error())
 }
 
-func (c *Client) name(request call) string {
+func (c *Client) describe(request call) string {
 	return fmt.Sprintf("platform %s: %s %s", c.address, request.method, request.path)
 }
--- a/internal/platform/faults.go
+++ b/internal/platform/faults.go
@@ -7,43 +7,43 @@
 	"github.com/pkg/errors"
 )
 
-// Faults are the switches by which a test makes a Store misbehave.
+// Faults are the faults that a test can inject into a Store.
 type Faults struct {
-	// Down refuses every call with ErrUnavailable and ends waiting watches.
+	// Down rejects every call with ErrUnavailable and ends waiting watches.
 	Down bool
-	// Delay is the time by which each call is held before it is handled.
+	// Delay is the time by which each call is delayed before it is processed.
 	Delay time.Duration
-	// LoseReplies is the number of coming writes that take effect but answer
-	// ErrOutcomeUnknown; a negative number loses all.
+	// LoseReplies is the number of subsequent writes that take effect but
+	// return ErrOutcomeUnknown; a negative number applies to all writes.
 	LoseReplies int
-	// Stale answers reads from the state at the moment the switch was set.
+	// Stale makes reads return the state as of the time when the fault was set.
 	Stale bool
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the current faults.
 func (s *Store) SetFaults(faults Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if faults.Stale && !s.faults.Stale {
-		s.stale = s.snapshot()
+		s.staleSnapshot = s.snapshot()
 	}
 	if !faults.Stale {
-		s.stale = nil
+		s.staleSnapshot = nil
 	}
 	s.faults = faults
 	s.wake()
 }
 
-// Faults returns the faults in force.
+// Faults returns the current faults.
 func (s *Store) Faults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// enter counts a call and applies the faults and limits that precede its
+// admit counts a call and applies the faults and rate limits that precede its
 // effect.
-func (s *Store) enter(ctx context.Context, call Call) error {
+func (s *Store) admit(ctx context.Context, call Call) error {
 	s.mu.Lock()
 	s.counts.add(call)
 	faults := s.faults
@@ -54,10 +54,10 @@
 	if err := s.limits.allow(call, s.now()); err != nil {
 		return err
 	}
-	return pause(ctx, faults.Delay)
+	return sleepContext(ctx, faults.Delay)
 }
 
-// loseReply tells whether the reply to the write in hand is lost. The caller
+// loseReply reports whether the reply to the current write is lost. The caller
 // holds the lock.
 func (s *Store) loseReply() bool {
 	if s.faults.LoseReplies == 0 {
@@ -69,8 +69,8 @@
 	return true
 }
 
-// pause waits for the delay or the end of the context.
-func pause(ctx context.Context, delay time.Duration) error {
+// sleepContext waits for the delay or the end of the context.
+func sleepContext(ctx context.Context, delay time.Duration) error {
 	if delay <= 0 {
 		return nil
 	}
--- a/internal/platform/server.go
+++ b/internal/platform/server.go
@@ -11,12 +11,12 @@
 	"github.com/valyala/fasthttp"
 )
 
-// MaxWatchWait is the longest time for which the server holds a watch.
+// MaxWatchWait is the maximum time for which the server holds a watch.
 const MaxWatchWait = 60 * time.Second
 
-// bodySlack is what a request body may exceed MaxObjectBytes by, so that an
-// object that is a little too large gets a clear answer.
-const bodySlack = 64 << 10
+// bodyAllowance is the size by which a request body may exceed MaxObjectBytes,
+// so that a slightly oversized object is rejected with ErrTooLarge.
+const bodyAllowance = 64 << 10
 
 // Server serves a Store over HTTP, with an admin interface for tests.
 type Server struct {
@@ -33,7 +33,7 @@
 	server.http = &fasthttp.Server{
 		Handler:            server.handle,
 		Name:               "standin-platform",
-		MaxRequestBodySize: MaxObjectBytes + bodySlack,
+		MaxRequestBodySize: MaxObjectBytes + bodyAllowance,
 		CloseOnShutdown:    true,
 	}
 	return server
@@ -75,7 +75,7 @@
 	case fasthttp.MethodGet:
 		object, err := s.store.Get(s.ctx, key)
 		if err != nil {
-			fail(ctx, err)
+			writeError(ctx, err)
 			return
 		}
 		setVersion(ctx, object.Version)
@@ -96,7 +96,7 @@
 	}
 	version, err := s.store.Put(s.ctx, key, ctx.PostBody(), expect)
 	if err != nil {
-		fail(ctx, err)
+		writeError(ctx, err)
 		return
 	}
 	setVersion(ctx, version)
@@ -108,14 +108,14 @@
 		return
 	}
 	if err := s.store.Delete(s.ctx, key, expect); err != nil {
-		fail(ctx, err)
+		writeError(ctx, err)
 	}
 }
 
 func (s *Server) handleList(ctx *fasthttp.RequestCtx) {
 	objects, version, err := s.store.List(s.ctx, string(ctx.QueryArgs().Peek(argPrefix)))
 	if err != nil {
-		fail(ctx, err)
+		writeError(ctx, err)
 		return
 	}
 	writeJSON(ctx, listReply{Version: version, Objects: objects})
@@ -135,7 +135,7 @@
 	prefix := string(ctx.QueryArgs().Peek(argPrefix))
 	changes, version, err := s.store.Watch(s.ctx, prefix, from, wait)
 	if err != nil {
-		fail(ctx, err)
+		writeError(ctx, err)
 		return
 	}
 	writeJSON(ctx, watchReply{Version: version, Changes: changes})
@@ -144,21 +144,22 @@
 func (s *Server) handleVMs(ctx *fasthttp.RequestCtx) {
 	vms, err := s.store.VMs(s.ctx)
 	if err != nil {
-		fail(ctx, err)
+		writeError(ctx, err)
 		return
 	}
 	writeJSON(ctx, vms)
 }
 
-// fail answers an error. A lost reply closes the connection without a word,
-// which is what a client of a real platform would see.
-func fail(ctx *fasthttp.RequestCtx, err error) {
+// writeError answers a call with an error. For a lost reply it closes the
+// connection without a response, which is what a client of a real platform
+// would observe.
+func writeError(ctx *fasthttp.RequestCtx, err error) {
 	if errors.Is(err, ErrOutcomeUnknown) {
 		ctx.HijackSetNoResponse(true)
 		ctx.Hijack(func(connection net.Conn) { _ = connection.Close() })
 		return
 	}
-	ctx.Error(err.Error(), statusOf(err))
+	ctx.Error(err.Error(), statusFromError(err))
 }
 
 func setVersion(ctx *fasthttp.RequestCtx, version Version) {
--- a/internal/platform/server_admin.go
+++ b/internal/platform/server_admin.go
@@ -17,7 +17,8 @@
 	pathAdminVM     = "/admin/vms/" // followed by the VM's name
 )
 
-// FaultSwitches is the JSON form of Faults in the admin interface.
+// FaultSwitches is the JSON form of Faults and the lag of the list of VMs in
+// the admin interface.
 type FaultSwitches struct {
 	Down        bool  `json:"down"`
 	DelayMillis int64 `json:"delay_ms"`
@@ -60,7 +61,8 @@
 	}
 }
 
-// putSwitches changes the switches that the body names and leaves the others.
+// putSwitches changes the switches named in the body and leaves the others
+// unchanged.
 func (s *Server) putSwitches(ctx *fasthttp.RequestCtx) {
 	switches := s.switches()
 	if !readJSON(ctx, &switches) {
--- a/internal/platform/store.go
+++ b/internal/platform/store.go
@@ -11,39 +11,39 @@
 	"github.com/pkg/errors"
 )
 
-// ErrTooLarge tells that a value is larger than MaxObjectBytes.
+// ErrTooLarge means that an object's data exceeds MaxObjectBytes.
 var ErrTooLarge = errors.New("object too large")
 
-// DefaultHistory is the number of changes that a Store keeps for watches.
+// DefaultHistory is the number of changes that a Store retains for watches.
 const DefaultHistory = 4096
 
 // StoreOptions configure a Store. The zero value is ready for use.
 type StoreOptions struct {
-	History         int              // changes kept for watches; 0 is DefaultHistory
+	History         int              // changes retained for watches; 0 is DefaultHistory
 	WritesPerSecond int              // 0 is DefaultWritesPerSecond
 	ReadsPerSecond  int              // 0 is DefaultReadsPerSecond
-	VMLag           time.Duration    // time until a change shows in the list of VMs
-	NodesMakeVMs    bool             // a written object under NodePrefix lists its VM as live
+	VMLag           time.Duration    // time until a change is visible in the list of VMs
+	NodesMakeVMs    bool             // writing an object under NodePrefix adds its VM to the list as live
 	Now             func() time.Time // nil is time.Now
 }
 
-// Store is the platform's API in memory, for tests and for the stand-in. It is
-// safe for concurrent use.
+// Store is an in-memory implementation of the platform's API, for tests and the
+// stand-in. It is safe for concurrent use.
 type Store struct {
 	options StoreOptions
 	limits  limits
 	now     func() time.Time
 
-	mu      sync.Mutex
-	version Version
-	objects map[string]Object
-	history []Change
-	oldest  Version // changes up to this version are no longer in history
-	changed chan struct{}
-	vms     vmList
-	faults  Faults
-	stale   *snapshot
-	counts  CallCounts
+	mu            sync.Mutex
+	version       Version
+	objects       map[string]Object
+	history       []Change
+	compactedTo   Version // changes up to this version are no longer in history
+	changed       chan struct{}
+	vms           vmList
+	faults        Faults
+	staleSnapshot *snapshot
+	counts        CallCounts
 }
 
 var _ API = (*Store)(nil)
@@ -75,12 +75,12 @@
 
 // Get implements API.
 func (s *Store) Get(ctx context.Context, key string) (Object, error) {
-	if err := s.enter(ctx, CallGet); err != nil {
+	if err := s.admit(ctx, CallGet); err != nil {
 		return Object{}, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	object, ok := s.readable()[key]
+	object, ok := s.readableObjects()[key]
 	if !ok {
 		return Object{}, errors.WithStack(ErrNotFound)
 	}
@@ -92,7 +92,7 @@
 	if len(data) > MaxObjectBytes {
 		return 0, errors.WithStack(ErrTooLarge)
 	}
-	if err := s.enter(ctx, CallPut); err != nil {
+	if err := s.admit(ctx, CallPut); err != nil {
 		return 0, err
 	}
 	s.mu.Lock()
@@ -104,7 +104,7 @@
 	object := Object{Key: key, Version: s.version, Data: slices.Clone(data)}
 	s.objects[key] = object
 	s.record(Change{Object: object})
-	s.listNode(object)
+	s.addVMOfNode(object)
 	if s.loseReply() {
 		return 0, errors.WithStack(ErrOutcomeUnknown)
 	}
@@ -113,7 +113,7 @@
 
 // Delete implements API.
 func (s *Store) Delete(ctx context.Context, key string, expect Version) error {
-	if err := s.enter(ctx, CallDelete); err != nil {
+	if err := s.admit(ctx, CallDelete); err != nil {
 		return err
 	}
 	s.mu.Lock()
@@ -136,13 +136,13 @@
 
 // List implements API.
 func (s *Store) List(ctx context.Context, prefix string) ([]Object, Version, error) {
-	if err := s.enter(ctx, CallList); err != nil {
+	if err := s.admit(ctx, CallList); err != nil {
 		return nil, 0, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var listed []Object
-	for key, object := range s.readable() {
+	for key, object := range s.readableObjects() {
 		if strings.HasPrefix(key, prefix) {
 			listed = append(listed, clone(object))
 		}
@@ -151,24 +151,24 @@
 	return listed, s.readVersion(), nil
 }
 
-// record keeps a change for the watches and wakes them. The caller holds the
-// lock.
+// record adds a change to the history and wakes the watches. The caller holds
+// the lock.
 func (s *Store) record(change Change) {
 	s.history = append(s.history, change)
 	if excess := len(s.history) - s.options.History; excess > 0 {
-		s.oldest = s.history[excess-1].Object.Version
+		s.compactedTo = s.history[excess-1].Object.Version
 		s.history = slices.Delete(s.history, 0, excess)
 	}
 	s.wake()
 }
 
-// wake lets every waiting watch look again. The caller holds the lock.
+// wake makes every waiting watch check for changes. The caller holds the lock.
 func (s *Store) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// snapshot is the state that stale reads see.
+// snapshot is the state that stale reads return.
 type snapshot struct {
 	version Version
 	objects map[string]Object
@@ -179,27 +179,27 @@
 	return &snapshot{
 		version: s.version,
 		objects: maps.Clone(s.objects),
-		vms:     s.vms.at(s.now()),
+		vms:     s.vms.visibleAt(s.now()),
 	}
 }
 
-// readable returns the objects that reads see now.
-func (s *Store) readable() map[string]Object {
-	if s.stale != nil {
-		return s.stale.objects
+// readableObjects returns the objects that reads currently see.
+func (s *Store) readableObjects() map[string]Object {
+	if s.staleSnapshot != nil {
+		return s.staleSnapshot.objects
 	}
 	return s.objects
 }
 
-// readVersion returns the version that reads see now.
+// readVersion returns the version that reads currently see.
 func (s *Store) readVersion() Version {
-	if s.stale != nil {
-		return s.stale.version
+	if s.staleSnapshot != nil {
+		return s.staleSnapshot.version
 	}
 	return s.version
 }
 
-// clone copies an object so that no caller can change the store's data.
+// clone copies an object so that callers cannot modify the store's data.
 func clone(object Object) Object {
 	object.Data = slices.Clone(object.Data)
 	return object
--- a/internal/platform/store_vms.go
+++ b/internal/platform/store_vms.go
@@ -10,8 +10,8 @@
 	"github.com/bluebellchute/bluebellchute/internal/fleet"
 )
 
-// NodePrefix is the prefix of the objects by which nodes make themselves
-// known; their data is a fleet.Node in JSON.
+// NodePrefix is the prefix of the objects by which nodes register; their data
+// is a fleet.Node in JSON.
 const NodePrefix = "nodes/"
 
 // VMGone is the state that removes a VM from the list.
@@ -23,35 +23,35 @@
 	at time.Time
 }
 
-// vmList is the list of VMs. A change shows only after the lag.
+// vmList is the list of VMs. A change becomes visible only after the lag.
 type vmList struct {
 	lag     time.Duration
 	changes []vmChange
 }
 
-// at returns the list that shows at a time, ordered by name.
-func (l *vmList) at(now time.Time) []VM {
-	shown := make(map[string]VM)
+// visibleAt returns the list that is visible at a time, ordered by name.
+func (l *vmList) visibleAt(now time.Time) []VM {
+	visible := make(map[string]VM)
 	for _, change := range l.changes {
 		if change.at.Add(l.lag).After(now) {
 			continue
 		}
 		if change.vm.State == VMGone {
-			delete(shown, change.vm.Name)
+			delete(visible, change.vm.Name)
 			continue
 		}
-		shown[change.vm.Name] = change.vm
+		visible[change.vm.Name] = change.vm
 	}
-	vms := make([]VM, 0, len(shown))
-	for _, vm := range shown {
+	vms := make([]VM, 0, len(visible))
+	for _, vm := range visible {
 		vms = append(vms, vm)
 	}
 	slices.SortFunc(vms, func(a, b VM) int { return cmp.Compare(a.Name, b.Name) })
 	return vms
 }
 
-// latest returns the true state of a VM, VMGone when there is none.
-func (l *vmList) latest(name string) fleet.VMState {
+// currentState returns the actual state of a VM, or VMGone if there is none.
+func (l *vmList) currentState(name string) fleet.VMState {
 	for _, change := range slices.Backward(l.changes) {
 		if change.vm.Name == name {
 			return change.vm.State
@@ -60,15 +60,15 @@
 	return VMGone
 }
 
-// SetVM records the true state of a VM; VMGone removes it. The list shows it
-// after the lag.
+// SetVM sets the actual state of a VM; VMGone removes it. The change is visible
+// in the list after the lag.
 func (s *Store) SetVM(vm VM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.vms.changes = append(s.vms.changes, vmChange{vm: vm, at: s.now()})
 }
 
-// SetVMLag sets the time after which a change shows in the list of VMs.
+// SetVMLag sets the time after which a change is visible in the list of VMs.
 func (s *Store) SetVMLag(lag time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,20 +77,21 @@
 
 // VMs implements API.
 func (s *Store) VMs(ctx context.Context) ([]VM, error) {
-	if err := s.enter(ctx, CallVMs); err != nil {
+	if err := s.admit(ctx, CallVMs); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.stale != nil {
-		return slices.Clone(s.stale.vms), nil
+	if s.staleSnapshot != nil {
+		return slices.Clone(s.staleSnapshot.vms), nil
 	}
-	return s.vms.at(s.now()), nil
+	return s.vms.visibleAt(s.now()), nil
 }
 
-// listNode lists the VM of a written node object as live at once, where the
-// options ask for it and the VM is not listed yet. The caller holds the lock.
-func (s *Store) listNode(object Object) {
+// addVMOfNode adds the VM of a written node object to the list as live, without
+// the lag, if NodesMakeVMs is set and the VM does not exist yet. The caller
+// holds the lock.
+func (s *Store) addVMOfNode(object Object) {
 	if !s.options.NodesMakeVMs || !hasNodePrefix(object.Key) {
 		return
 	}
@@ -98,7 +99,7 @@
 	if err := json.Unmarshal(object.Data, &node); err != nil || node.VM == "" {
 		return
 	}
-	if s.vms.latest(node.VM) != VMGone {
+	if s.vms.currentState(node.VM) != VMGone {
 		return
 	}
 	vm := VM{Name: node.VM, Zone: node.Zone, State: fleet.VMLive}
@@ -109,7 +110,7 @@
 	return len(key) > len(NodePrefix) && key[:len(NodePrefix)] == NodePrefix
 }
 
-// VMLag returns the time after which a change shows in the list of VMs.
+// VMLag returns the time after which a change is visible in the list of VMs.
 func (s *Store) VMLag() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/platform/store_watch.go
+++ b/internal/platform/store_watch.go
@@ -8,10 +8,10 @@
 	"github.com/pkg/errors"
 )
 
-// Watch implements API. A wait that ends without a change returns no changes
-// and the version up to which there were none.
+// Watch implements API. If the wait ends without a change, it returns no
+// changes and the version up to which there were none.
 func (s *Store) Watch(ctx context.Context, prefix string, from Version, wait time.Duration) ([]Change, Version, error) {
-	if err := s.enter(ctx, CallWatch); err != nil {
+	if err := s.admit(ctx, CallWatch); err != nil {
 		return nil, 0, err
 	}
 	timer := time.NewTimer(wait)
@@ -40,7 +40,7 @@
 	if s.faults.Down {
 		return nil, from, nil, errors.WithStack(ErrUnavailable)
 	}
-	if from < s.oldest {
+	if from < s.compactedTo {
 		return nil, from, nil, errors.WithStack(ErrCompacted)
 	}
 	var changes []Change
--- a/internal/platform/wire.go
+++ b/internal/platform/wire.go
@@ -5,7 +5,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// The paths of the HTTP form of the API.
+// The paths of the HTTP API.
 const (
 	pathObject = "/v1/object"
 	pathList   = "/v1/list"
@@ -13,7 +13,7 @@
 	pathVMs    = "/v1/vms"
 )
 
-// The names of query arguments and headers of the HTTP form.
+// The names of query arguments and headers of the HTTP API.
 const (
 	argKey        = "key"
 	argPrefix     = "prefix"
@@ -35,8 +35,8 @@
 	Changes []Change
 }
 
-// statusOf gives the HTTP status that stands for an error.
-func statusOf(err error) int {
+// statusFromError returns the HTTP status for an error.
+func statusFromError(err error) int {
 	switch {
 	case errors.Is(err, ErrNotFound):
 		return fasthttp.StatusNotFound
@@ -55,9 +55,9 @@
 	}
 }
 
-// errorOf gives the error that an HTTP status stands for, nil for 200. The
-// platform answers no status but 200 to a write that took effect.
-func errorOf(status int) error {
+// errorFromStatus returns the error for an HTTP status, nil for 200. A write
+// that took effect is answered with no other status than 200.
+func errorFromStatus(status int) error {
 	switch status {
 	case fasthttp.StatusOK:
 		return nil
