--- a/internal/membership/directory_delta.go
+++ b/internal/membership/directory_delta.go
@@ -43,7 +43,7 @@
 func (d *Directory) Apply(encoded []byte) (bool, error) {
 	var delta rpc.MembersDelta
 	if err := proto.Unmarshal(encoded, &delta); err != nil {
-		return false, errors.Wrap(err, "delta of the list of nodes")
+		return false, errors.Wrap(err, "decode delta of the list of nodes")
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/membership/record.go
+++ b/internal/membership/record.go
@@ -35,14 +35,14 @@
 // EncodeRecord returns the data of a node's object.
 func EncodeRecord(record Record) ([]byte, error) {
 	data, err := json.Marshal(record)
-	return data, errors.Wrapf(err, "record of node %s", record.Control)
+	return data, errors.Wrapf(err, "encode record of node %s", record.Control)
 }
 
 // decodeRecord decodes a node's object. The control address comes from the key.
 func decodeRecord(object platform.Object) (Record, error) {
 	var record Record
 	if err := json.Unmarshal(object.Data, &record); err != nil {
-		return Record{}, errors.Wrapf(err, "object %s", object.Key)
+		return Record{}, errors.Wrapf(err, "decode object %s", object.Key)
 	}
 	record.Control = controlOf(object.Key)
 	record.Version = object.Version
--- a/internal/spread/manager.go
+++ b/internal/spread/manager.go
@@ -17,7 +17,8 @@
 )
 
 const (
-	// inputQueue is the number of events queued during a step of World.
+	// inputQueue is the number of events that can wait for the next step of
+	// World.
 	inputQueue = 1024
 	// unregisterTimeout limits the removal of the node's own record at
 	// shutdown.
--- a/internal/spread/shell_execute.go
+++ b/internal/spread/shell_execute.go
@@ -20,8 +20,8 @@
 	platformTimeout = 3 * time.Second
 )
 
-// execute executes one command. Calls run in their own goroutines; World limits
-// their number, since it has at most one call of each kind in progress.
+// execute carries out one command. Calls run in their own goroutines; World
+// limits their number, since it has at most one call of each kind in progress.
 func (m *Manager) execute(command Command) {
 	switch command := command.(type) {
 	case Sync:
--- a/internal/spread/system_platform.go
+++ b/internal/spread/system_platform.go
@@ -49,8 +49,8 @@
 }
 
 // isolated reports whether no message from a peer has arrived for the fallback
-// interval. That happens to a node whose list of nodes is so old that none of
-// them exists any more.
+// interval. That happens to a node whose list of nodes is so old that it
+// contains no running peer.
 func (w *World) isolated(state *platformState, now time.Time) bool {
 	due := w.lastEnvelopeAt.Add(w.config.FallbackInterval)
 	if due.Before(state.fallbackAt) {
--- a/internal/spread/tables.go
+++ b/internal/spread/tables.go
@@ -21,7 +21,7 @@
 	id               DocumentID
 	replica          Replica
 	reportedRevision uint64                             // last revision emitted in RevisionAdvanced
-	pushedRevision   uint64                             // last revision pushed to peers
+	pushedRevision   uint64                             // highest revision that needs no further push
 	peersAhead       *tick.Table[fleet.Address, uint64] // peers that claim a higher revision
 	pulling          fleet.Address                      // peer that is being asked for it, empty for none
 	nextPullAt       time.Time                          // earliest time of the next pull
