--- a/internal/agent/faults_test.go
+++ b/internal/agent/faults_test.go
@@ -27,13 +27,13 @@
 func TestSilentEngineConnectionIsReplaced(t *testing.T) {
 	var between *testrelay.Relay
 	a := startAgent(t, testPolicy(settings.KindModel), engine.Config{Step: time.Millisecond}, func(address string) string {
-		between = testrelay.Start(t, testrelay.Config{Target: fleet.Address(address), AnswerLimit: 2000})
+		between = testrelay.Start(t, testrelay.Config{Target: fleet.Address(address), BlackholeAfter: 2000})
 		return string(between.Address())
 	})
 	id := newID()
 	var got received
 	got.read(t, id, a.post(t, PathRun, runRequest(id, "/v1/chat/completions", `{"stream":true,"x_tokens":100}`)), 0)
-	<-between.Limited()
+	<-between.LimitReached()
 	a.wantWhole(t, id, &got)
 }
 
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -159,7 +159,7 @@
 		t.Fatal(err)
 	}
 	before := r.Connections()
-	r.Silence()
+	r.Blackhole()
 	deadline := time.Now().Add(patience)
 	// Each call is given up sooner than a connection is found silent.
 	for statusIn(pool, address, probeAfter/4) != nil {
@@ -185,7 +185,7 @@
 	if err := status(pool, address); err != nil {
 		t.Fatal(err)
 	}
-	r.Silence()
+	r.Blackhole()
 	_, err := pool.FreshAgent(address).Fence(context.Background(), &rpc.FenceRequest{})
 	var twirpError twirp.Error
 	if !errors.As(err, &twirpError) || twirpError.Code() != twirp.BadRoute {
--- a/internal/ctl/losses.go
+++ b/internal/ctl/losses.go
@@ -55,7 +55,7 @@
 
 func (c *lossesCommand) run(s *session) error {
 	report := losses.NewReport()
-	if err := c.Positional.read(s, report.Take); err != nil {
+	if err := c.Positional.read(s, report.Add); err != nil {
 		return err
 	}
 	report.Finish()
@@ -104,7 +104,7 @@
 		reasons = append(reasons, fmt.Sprintf("%s %d", reason, counts.Refused[reason]))
 	}
 	cells := make([]string, 0, len(countColumns))
-	for _, count := range []int{counts.All(), counts.InTime, counts.Late, counts.Failed, counts.Left, counts.RefusedAll()} {
+	for _, count := range []int{counts.Total(), counts.InTime, counts.Late, counts.Failed, counts.Disconnected, counts.TotalRefused()} {
 		cells = append(cells, strconv.Itoa(count))
 	}
 	return append(cells, orDash(strings.Join(reasons, ", ")))
@@ -142,8 +142,8 @@
 }
 
 func (c *explain) run(s *session) error {
-	path := losses.NewPath(c.Positional.Request)
-	if err := (logFiles{Logs: c.Positional.Logs}).read(s, path.Take); err != nil {
+	path := losses.NewRequestTrace(c.Positional.Request)
+	if err := (logFiles{Logs: c.Positional.Logs}).read(s, path.Add); err != nil {
 		return err
 	}
 	records := path.Records()
--- a/internal/e2e/cluster_test.go
+++ b/internal/e2e/cluster_test.go
@@ -204,7 +204,7 @@
 	for i, b := range c.backends {
 		for _, runs := range b.runs(t) {
 			last := runs[len(runs)-1]
-			if last.State == engine.RunRunning && last.FirstNS > 0 {
+			if last.State == engine.RunRunning && last.FirstTokenNS > 0 {
 				return i
 			}
 		}
--- a/internal/e2e/silence_test.go
+++ b/internal/e2e/silence_test.go
@@ -31,11 +31,11 @@
 			streamed := call{tokens: longAnswer, stream: true}
 			done := startCall(c.routers[0], streamed)
 			c.awaitRun(t)
-			r.Silence()
+			r.Blackhole()
 			if err := (<-done).whole(streamed); err != nil {
 				t.Error(err)
 			}
-			if r.Dropped() == 0 {
+			if r.DroppedBytes() == 0 {
 				t.Error("the relay was not in the answer's way")
 			}
 		})
--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -10,41 +10,41 @@
 
 // Config describes an engine.
 type Config struct {
-	Slots       int           // requests that run at once
-	Step        time.Duration // time of one step with nothing to read
-	StepPerRun  time.Duration // added for each running request
-	ReadPerMS   float64       // prompt tokens read in a millisecond
-	Chunk       int           // most prompt tokens read in one step
-	Memory      int           // tokens that running requests and kept parts share
-	EventTokens int           // generated tokens in one event
+	Slots              int           // requests that run at once
+	Step               time.Duration // time of one step with nothing to read
+	StepPerRequest     time.Duration // added for each running request
+	PrefillTokensPerMS float64       // prompt tokens read in a millisecond
+	PrefillChunk       int           // most prompt tokens read in one step
+	MemoryTokens       int           // tokens that running requests and kept parts share
+	TokensPerEvent     int           // generated tokens in one event
 }
 
 // DefaultConfig is an engine about as large as the first users'.
 func DefaultConfig() Config {
 	return Config{
-		Slots:       64,
-		Step:        3 * time.Millisecond,
-		StepPerRun:  100 * time.Microsecond,
-		ReadPerMS:   60,
-		Chunk:       1024,
-		Memory:      580_000,
-		EventTokens: 6,
+		Slots:              64,
+		Step:               3 * time.Millisecond,
+		StepPerRequest:     100 * time.Microsecond,
+		PrefillTokensPerMS: 60,
+		PrefillChunk:       1024,
+		MemoryTokens:       580_000,
+		TokensPerEvent:     6,
 	}
 }
 
-// Part is a part of a prompt that requests may share.
-type Part struct {
+// Segment is a part of a prompt that requests may share.
+type Segment struct {
 	ID     string
 	Tokens int
 }
 
 // Request is a request at an engine.
 type Request struct {
-	Parts  []Part
-	Output int // tokens to be generated
-	// Event is called at each event with its number, from 1; last tells the
+	Segments     []Segment
+	OutputTokens int // tokens to be generated
+	// OnEvent is called at each event with its number, from 1; last tells the
 	// end. It must not call the engine.
-	Event func(number int, last bool)
+	OnEvent func(number int, last bool)
 
 	unread    int // prompt tokens still to be read
 	held      int // tokens that it holds in memory by itself
@@ -55,8 +55,8 @@
 
 // tokens returns the memory that the request takes.
 func (r *Request) tokens() int {
-	total := r.Output
-	for _, part := range r.Parts {
+	total := r.OutputTokens
+	for _, part := range r.Segments {
 		total += part.Tokens
 	}
 	return total
@@ -73,8 +73,8 @@
 	memory  int // tokens of the running requests
 	kept    *keptParts
 
-	// Read counts the prompt tokens read so far, Kept those that were kept.
-	Read, Kept int
+	// PrefilledTokens counts the prompt tokens read so far, Kept those that were kept.
+	PrefilledTokens, CachedTokens int
 }
 
 // NewEngine returns an idle engine.
@@ -97,8 +97,8 @@
 		return 0
 	}
 	read := e.read()
-	took := e.config.Step + time.Duration(len(e.running))*e.config.StepPerRun
-	took += time.Duration(float64(read) / e.config.ReadPerMS * float64(time.Millisecond))
+	took := e.config.Step + time.Duration(len(e.running))*e.config.StepPerRequest
+	took += time.Duration(float64(read) / e.config.PrefillTokensPerMS * float64(time.Millisecond))
 	e.generate()
 	return took
 }
@@ -107,20 +107,20 @@
 func (e *Engine) admit() {
 	for len(e.waiting) > 0 && len(e.running) < e.config.Slots {
 		next := e.waiting[0]
-		if len(e.running) > 0 && e.memory+next.tokens() > e.config.Memory {
+		if len(e.running) > 0 && e.memory+next.tokens() > e.config.MemoryTokens {
 			return
 		}
 		e.waiting = e.waiting[1:]
 		next.held = next.tokens()
 		e.memory += next.held
-		found := e.kept.find(next.Parts)
-		e.Kept += found
-		for _, part := range next.Parts {
+		found := e.kept.find(next.Segments)
+		e.CachedTokens += found
+		for _, part := range next.Segments {
 			next.unread += part.Tokens
 		}
 		next.unread -= found
 		e.running = append(e.running, next)
-		e.kept.shrink(e.config.Memory - e.memory)
+		e.kept.shrink(e.config.MemoryTokens - e.memory)
 	}
 }
 
@@ -130,9 +130,9 @@
 		if request.unread == 0 {
 			continue
 		}
-		chunk := min(request.unread, e.config.Chunk)
+		chunk := min(request.unread, e.config.PrefillChunk)
 		request.unread -= chunk
-		e.Read += chunk
+		e.PrefilledTokens += chunk
 		if request.unread == 0 {
 			e.keep(request)
 		}
@@ -145,17 +145,17 @@
 // parts may yield while the request still runs makes the model simpler than an
 // engine, which keeps them until then.
 func (e *Engine) keep(request *Request) {
-	e.memory -= request.held - request.Output
-	request.held = request.Output
-	e.kept.keep(request.Parts)
-	e.kept.shrink(e.config.Memory - e.memory)
+	e.memory -= request.held - request.OutputTokens
+	request.held = request.OutputTokens
+	e.kept.keep(request.Segments)
+	e.kept.shrink(e.config.MemoryTokens - e.memory)
 }
 
 // generate makes one token for each request whose prompt has been read.
 func (e *Engine) generate() {
 	left := e.running[:0]
 	for _, request := range e.running {
-		if request.unread > 0 || !request.generate(e.config.EventTokens) {
+		if request.unread > 0 || !request.generate(e.config.TokensPerEvent) {
 			left = append(left, request)
 			continue
 		}
@@ -167,11 +167,11 @@
 // generate makes one token and returns whether it was the last.
 func (r *Request) generate(eventTokens int) bool {
 	r.generated++
-	last := r.generated >= r.Output
+	last := r.generated >= r.OutputTokens
 	// The first token is told at once, later ones in groups.
 	if last || r.generated == 1 || r.generated%eventTokens == 0 {
 		r.events++
-		r.Event(r.events, last)
+		r.OnEvent(r.events, last)
 	}
 	return last
 }
--- a/internal/emulator/engine_test.go
+++ b/internal/emulator/engine_test.go
@@ -19,8 +19,8 @@
 	}
 }
 
-func prompt(tokens int, shared ...Part) []Part {
-	return append(append([]Part(nil), shared...), Part{ID: "own", Tokens: tokens})
+func prompt(tokens int, shared ...Segment) []Segment {
+	return append(append([]Segment(nil), shared...), Segment{ID: "own", Tokens: tokens})
 }
 
 func TestEventsComeInOrderAndEnd(t *testing.T) {
@@ -31,9 +31,9 @@
 		for range count {
 			next := 1
 			e.Add(&Request{
-				Parts:  prompt(rapid.IntRange(1, 30_000).Draw(t, "tokens")),
-				Output: rapid.IntRange(1, 200).Draw(t, "output"),
-				Event: func(number int, last bool) {
+				Segments:     prompt(rapid.IntRange(1, 30_000).Draw(t, "tokens")),
+				OutputTokens: rapid.IntRange(1, 200).Draw(t, "output"),
+				OnEvent: func(number int, last bool) {
 					if number != next {
 						t.Fatalf("event %d, want %d", number, next)
 					}
@@ -53,39 +53,39 @@
 
 func TestKeptPartIsNotReadAgain(t *testing.T) {
 	e := NewEngine(DefaultConfig())
-	shared := Part{ID: "shared", Tokens: 5000}
+	shared := Segment{ID: "shared", Tokens: 5000}
 	for _, own := range []string{"a", "b"} {
-		e.Add(&Request{Parts: []Part{shared, {ID: own, Tokens: 100}}, Output: 1, Event: func(int, bool) {}})
+		e.Add(&Request{Segments: []Segment{shared, {ID: own, Tokens: 100}}, OutputTokens: 1, OnEvent: func(int, bool) {}})
 		finish(e)
 	}
-	if e.Read != 5200 || e.Kept != 5000 {
-		t.Errorf("%d tokens read, %d kept", e.Read, e.Kept)
+	if e.PrefilledTokens != 5200 || e.CachedTokens != 5000 {
+		t.Errorf("%d tokens read, %d kept", e.PrefilledTokens, e.CachedTokens)
 	}
 }
 
 // Two requests that come before the part is read both have it read.
 func TestPartIsReadTwiceWhenRequestsOverlap(t *testing.T) {
 	e := NewEngine(DefaultConfig())
-	shared := Part{ID: "shared", Tokens: 5000}
+	shared := Segment{ID: "shared", Tokens: 5000}
 	for _, own := range []string{"a", "b"} {
-		e.Add(&Request{Parts: []Part{shared, {ID: own, Tokens: 100}}, Output: 1, Event: func(int, bool) {}})
+		e.Add(&Request{Segments: []Segment{shared, {ID: own, Tokens: 100}}, OutputTokens: 1, OnEvent: func(int, bool) {}})
 	}
 	finish(e)
-	if e.Read != 10_200 {
-		t.Errorf("%d tokens read", e.Read)
+	if e.PrefilledTokens != 10_200 {
+		t.Errorf("%d tokens read", e.PrefilledTokens)
 	}
 }
 
 func TestLeastRecentlyUsedPartsYield(t *testing.T) {
 	config := DefaultConfig()
-	config.Memory = 10_000
+	config.MemoryTokens = 10_000
 	e := NewEngine(config)
 	for _, id := range []string{"a", "b", "a", "c", "a"} {
-		e.Add(&Request{Parts: []Part{{ID: id, Tokens: 4000}}, Output: 1, Event: func(int, bool) {}})
+		e.Add(&Request{Segments: []Segment{{ID: id, Tokens: 4000}}, OutputTokens: 1, OnEvent: func(int, bool) {}})
 		finish(e)
 	}
-	if e.Read != 12_000 || e.Kept != 8000 {
-		t.Errorf("%d tokens read, %d kept", e.Read, e.Kept)
+	if e.PrefilledTokens != 12_000 || e.CachedTokens != 8000 {
+		t.Errorf("%d tokens read, %d kept", e.PrefilledTokens, e.CachedTokens)
 	}
 }
 
@@ -93,11 +93,11 @@
 	config := DefaultConfig()
 	config.Slots = 1
 	e := NewEngine(config)
-	first := &Request{Parts: prompt(10), Output: 1000, Event: func(int, bool) {}}
+	first := &Request{Segments: prompt(10), OutputTokens: 1000, OnEvent: func(int, bool) {}}
 	e.Add(first)
 	e.Step()
 	ended := false
-	e.Add(&Request{Parts: prompt(10), Output: 1, Event: func(_ int, last bool) { ended = last }})
+	e.Add(&Request{Segments: prompt(10), OutputTokens: 1, OnEvent: func(_ int, last bool) { ended = last }})
 	first.Cancel()
 	finish(e)
 	if !ended || e.memory != 0 {
@@ -109,7 +109,7 @@
 	took := func(count int) time.Duration {
 		e := NewEngine(DefaultConfig())
 		for range count {
-			e.Add(&Request{Parts: prompt(1), Output: 100, Event: func(int, bool) {}})
+			e.Add(&Request{Segments: prompt(1), OutputTokens: 100, OnEvent: func(int, bool) {}})
 		}
 		return finish(e)
 	}
--- a/internal/emulator/kept.go
+++ b/internal/emulator/kept.go
@@ -21,7 +21,7 @@
 
 // find returns the tokens of the leading parts that are kept, and marks them
 // as used.
-func (k *keptParts) find(parts []Part) int {
+func (k *keptParts) find(parts []Segment) int {
 	found, chain := 0, ""
 	for _, part := range parts {
 		chain += "/" + part.ID
@@ -36,7 +36,7 @@
 }
 
 // keep keeps all parts of a prompt.
-func (k *keptParts) keep(parts []Part) {
+func (k *keptParts) keep(parts []Segment) {
 	chain := ""
 	for _, part := range parts {
 		chain += "/" + part.ID
--- a/internal/emulator/prediction_test.go
+++ b/internal/emulator/prediction_test.go
@@ -103,7 +103,7 @@
 	}
 	read := 0
 	for _, engine := range f.engines {
-		read += engine.Read
+		read += engine.PrefilledTokens
 	}
 	return outcome{inTime: f.inTime / f.asked, read: float64(read) / f.sent}
 }
@@ -124,7 +124,7 @@
 	second := f.random.IntN(k.secondPart)
 	first := second % k.firstParts
 	own := int(k.own * math.Exp(f.random.NormFloat64()*0.8-0.32))
-	parts := []emulator.Part{
+	parts := []emulator.Segment{
 		{ID: fmt.Sprint(k.own, "-", first), Tokens: k.first},
 		{ID: fmt.Sprint("s", second), Tokens: k.second},
 		{ID: fmt.Sprint("o", f.random.Uint64()), Tokens: own},
@@ -149,13 +149,13 @@
 	f.send(ranked[choice.Place], choice.PromptTokens, parts, k, size, now)
 }
 
-func (f *modelFleet) send(index int, tokens float64, parts []emulator.Part, k *kind, size float64, now time.Duration) {
+func (f *modelFleet) send(index int, tokens float64, parts []emulator.Segment, k *kind, size float64, now time.Duration) {
 	load := &f.loads[index]
 	load.Running++
 	load.Pending += tokens
 	load.Memory += size + float64(k.output)
-	request := &emulator.Request{Parts: parts, Output: k.output}
-	request.Event = func(number int, last bool) {
+	request := &emulator.Request{Segments: parts, OutputTokens: k.output}
+	request.OnEvent = func(number int, last bool) {
 		f.events = append(f.events, func(at time.Duration) {
 			if number == 1 {
 				load.Pending -= tokens
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -159,7 +159,7 @@
 	for _, s := range e.running {
 		first, ended := s.advance()
 		if first {
-			e.ledger.update(func() { s.run.FirstNS = now.UnixNano() })
+			e.ledger.update(func() { s.run.FirstTokenNS = now.UnixNano() })
 		}
 		if ended {
 			e.settle(s, now)
--- a/internal/engine/ledger.go
+++ b/internal/engine/ledger.go
@@ -21,8 +21,8 @@
 type Run struct {
 	ID           string   `json:"id"`
 	State        RunState `json:"state"`
-	BeganNS      int64    `json:"began_ns"`
-	FirstNS      int64    `json:"first_ns,omitempty"` // first token
+	StartedNS    int64    `json:"began_ns"`
+	FirstTokenNS int64    `json:"first_ns,omitempty"` // first token
 	EndedNS      int64    `json:"ended_ns,omitempty"`
 	PromptTokens int      `json:"prompt_tokens,omitempty"`
 	CachedTokens int      `json:"cached_tokens,omitempty"`
@@ -42,7 +42,7 @@
 func (l *ledger) begin(id string, now time.Time) (*Run, int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	run := &Run{ID: id, State: RunRunning, BeganNS: now.UnixNano()}
+	run := &Run{ID: id, State: RunRunning, StartedNS: now.UnixNano()}
 	l.runs = append(l.runs, run)
 	l.byID[id]++
 	return run, l.byID[id]
@@ -71,7 +71,7 @@
 	defer l.mu.Unlock()
 	var runs []Run
 	for _, run := range l.runs {
-		if run.BeganNS >= since.UnixNano() || run.State == RunRunning {
+		if run.StartedNS >= since.UnixNano() || run.State == RunRunning {
 			runs = append(runs, *run)
 		}
 	}
--- a/internal/lab/callers.go
+++ b/internal/lab/callers.go
@@ -19,7 +19,7 @@
 	own      float64 // prompt tokens of its own
 	cost     float64 // of the capacity, tokens
 	key      uint64  // of the shared part
-	parts    []emulator.Part
+	parts    []emulator.Segment
 	returned bool
 }
 
@@ -41,7 +41,7 @@
 		own:     own,
 		cost:    float64(kind.Shared) + own + 2*float64(kind.Output),
 		key:     selection.Hash(name),
-		parts: []emulator.Part{
+		parts: []emulator.Segment{
 			{ID: name, Tokens: kind.Shared},
 			{ID: fmt.Sprint("own", r.random.Uint64()), Tokens: int(own)},
 		},
--- a/internal/lab/deployment.go
+++ b/internal/lab/deployment.go
@@ -70,13 +70,13 @@
 	whole := func(least, most float64) int { return int(math.Round(even(least, most))) }
 	d := Deployment{Routers: whole(1, routersMost), Engines: whole(enginesLeast, enginesMost)}
 	d.Engine = emulator.Config{
-		Slots:       whole(slotsLeast, slotsMost),
-		Step:        time.Duration(even(stepLeast, stepMost) * float64(time.Millisecond)),
-		StepPerRun:  50 * time.Microsecond,
-		ReadPerMS:   even(readLeast, readMost),
-		Chunk:       2048,
-		Memory:      whole(100_000, 600_000),
-		EventTokens: whole(1, 8),
+		Slots:              whole(slotsLeast, slotsMost),
+		Step:               time.Duration(even(stepLeast, stepMost) * float64(time.Millisecond)),
+		StepPerRequest:     50 * time.Microsecond,
+		PrefillTokensPerMS: even(readLeast, readMost),
+		PrefillChunk:       2048,
+		MemoryTokens:       whole(100_000, 600_000),
+		TokensPerEvent:     whole(1, 8),
 	}
 	for range 1 + random.IntN(3) {
 		kind := Kind{
@@ -92,7 +92,7 @@
 		d.Kinds = append(d.Kinds, kind)
 	}
 	normalise(d.Kinds)
-	d.Stated = even(statedLeast, statedMost) * float64(d.Engines) * d.Engine.ReadPerMS * 1000 / 2
+	d.Stated = even(statedLeast, statedMost) * float64(d.Engines) * d.Engine.PrefillTokensPerMS * 1000 / 2
 	for range whole(2, 40) {
 		d.Accounts = append(d.Accounts, even(0.05, 5))
 	}
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -203,7 +203,7 @@
 		all := router.own[ranked[place]].add(router.others[ranked[place]])
 		return selection.Engine{
 			Running: all.running, Slots: r.deployment.Engine.Slots,
-			Pending: all.pending, Memory: all.memory, MemoryCapacity: float64(r.deployment.Engine.Memory),
+			Pending: all.pending, Memory: all.memory, MemoryCapacity: float64(r.deployment.Engine.MemoryTokens),
 		}
 	}
 }
@@ -226,8 +226,8 @@
 	router.own[index] = router.own[index].add(entered)
 	var last boottime.Instant
 	late := false
-	request := &emulator.Request{Parts: c.parts, Output: c.kind.Output}
-	request.Event = func(number int, whole bool) {
+	request := &emulator.Request{Segments: c.parts, OutputTokens: c.kind.Output}
+	request.OnEvent = func(number int, whole bool) {
 		r.emitted = append(r.emitted, func() {
 			if number == 1 {
 				router.own[index].pending -= entered.pending
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -15,7 +15,7 @@
 // operator states, beside small ones, before engines that can do more.
 func flooded() Deployment {
 	engine := emulator.DefaultConfig()
-	engine.ReadPerMS = 90
+	engine.PrefillTokensPerMS = 90
 	return Deployment{
 		Routers: 3, Engines: 6, Engine: engine, Stated: 150_000, PerSecond: 220,
 		Kinds: []Kind{
@@ -72,7 +72,7 @@
 // Cause: as much was let in as ever.
 func TestSlowEnginesServeWhatTheyCanInTime(t *testing.T) {
 	slow := flooded()
-	slow.Engine.ReadPerMS, slow.Engine.Step = 20, 8*time.Millisecond
+	slow.Engine.PrefillTokensPerMS, slow.Engine.Step = 20, 8*time.Millisecond
 	slow.Stated, slow.PerSecond = 400_000, 300
 	with := policy.Defaults()
 	without := with
--- a/internal/load/join.go
+++ b/internal/load/join.go
@@ -109,14 +109,14 @@
 // addRun takes times and costs from a run of the ledger.
 func (w *Work) addRun(run engineRun, service ServiceSection, plain bool) {
 	w.Engine = run.engine
-	w.Began = run.BeganNS
-	w.First = run.FirstNS
+	w.Began = run.StartedNS
+	w.First = run.FirstTokenNS
 	w.Ended = run.EndedNS
 	if run.EndedNS == 0 {
 		w.Ended = w.Answered // still in the ledger as running: a stuck engine
 	}
 	if plain {
-		w.First = run.BeganNS
+		w.First = run.StartedNS
 		w.OutputCost = service.MillisecondCost * float64(w.Ended-w.Began) / float64(time.Millisecond)
 		return
 	}
--- a/internal/losses/explain.go
+++ b/internal/losses/explain.go
@@ -18,19 +18,19 @@
 	event.GateBackendRestarted, event.GateEntryInvalid,
 }
 
-// Path picks one request's records out of a log, with those around them that
+// RequestTrace picks one request's records out of a log, with those around them that
 // tell what its routers believed.
-type Path struct {
+type RequestTrace struct {
 	request string
 	own     []Record
 	others  []Record
 }
 
-// NewPath returns a path that has no records yet.
-func NewPath(request string) *Path { return &Path{request: request} }
+// NewRequestTrace returns a path that has no records yet.
+func NewRequestTrace(request string) *RequestTrace { return &RequestTrace{request: request} }
 
-// Take keeps a record that may matter.
-func (p *Path) Take(record Record) error {
+// Add keeps a record that may matter.
+func (p *RequestTrace) Add(record Record) error {
 	switch {
 	case record.Request == p.request:
 		p.own = append(p.own, record)
@@ -43,7 +43,7 @@
 // Records returns the records in the order of their times. There are none when
 // the request is not in the log: records of single requests are a sample when
 // there are many.
-func (p *Path) Records() []Record {
+func (p *RequestTrace) Records() []Record {
 	records := slices.Clone(p.own)
 	for _, other := range p.others {
 		if slices.ContainsFunc(p.own, func(own Record) bool {
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -36,25 +36,25 @@
   3.1 edge-1 {"event":2124,"node":"edge-1","time":"2026-01-05T10:00:07Z","routes":7}
 `
 	report := NewReport()
-	count, err := Read(strings.NewReader(spoiled+log+spoiled), report.Take)
+	count, err := Read(strings.NewReader(spoiled+log+spoiled), report.Add)
 	if count != 4 || err != nil {
 		t.Errorf("%d records spoiled, error %v; want 4", count, err)
 	}
 	report.Finish()
-	if len(report.Seconds) != 1 || report.Seconds[0].All() != 9 {
+	if len(report.Seconds) != 1 || report.Seconds[0].Total() != 9 {
 		t.Errorf("%d seconds; what is whole does not count", len(report.Seconds))
 	}
 }
 
 func TestReportAddsRoutersUp(t *testing.T) {
 	report := NewReport()
-	read(t, log, report.Take)
+	read(t, log, report.Add)
 	report.Finish()
 	if len(report.Seconds) != 1 {
 		t.Fatalf("%d seconds", len(report.Seconds))
 	}
 	second := report.Seconds[0]
-	if second.InTime != 3 || second.Late != 1 || second.RefusedAll() != 3 || second.All() != 9 || second.Headroom != 0.4 || second.Shortage != 0.5 {
+	if second.InTime != 3 || second.Late != 1 || second.TotalRefused() != 3 || second.Total() != 9 || second.Headroom != 0.4 || second.Shortage != 0.5 {
 		t.Errorf("second %+v", second)
 	}
 	// 400 tokens in a span of four seconds: the small account's 50, the rest is
@@ -69,8 +69,8 @@
 }
 
 func TestPathHasWhatItsRouterBelieved(t *testing.T) {
-	path := NewPath("r1")
-	read(t, log, path.Take)
+	path := NewRequestTrace("r1")
+	read(t, log, path.Add)
 	records := path.Records()
 	if len(records) != 2 || records[0].Event != 2113 || records[0].Node != "edge-1" || records[1].Request != "r1" {
 		t.Errorf("records %+v", records)
@@ -80,7 +80,7 @@
 func TestPlotIsAPicture(t *testing.T) {
 	report := NewReport()
 	later := strings.ReplaceAll(log, "10:00:04Z", "10:00:05Z")
-	read(t, log+later, report.Take)
+	read(t, log+later, report.Add)
 	report.Finish()
 	var out bytes.Buffer
 	if err := report.Plot(&out); err != nil || !strings.HasPrefix(out.String(), "<svg") {
--- a/internal/losses/plot.go
+++ b/internal/losses/plot.go
@@ -25,7 +25,7 @@
 	}{
 		{"in time", func(s *Second) int { return s.InTime }},
 		{"late", func(s *Second) int { return s.Late }},
-		{"refused", func(s *Second) int { return s.RefusedAll() }},
+		{"refused", func(s *Second) int { return s.TotalRefused() }},
 		{"failed", func(s *Second) int { return s.Failed }},
 	}
 	graph := chart.Chart{
--- a/internal/losses/report.go
+++ b/internal/losses/report.go
@@ -17,18 +17,18 @@
 
 // Counts are what became of requests.
 type Counts struct {
-	InTime  int                 `json:"in_time"`
-	Late    int                 `json:"late"`
-	Failed  int                 `json:"failed"`
-	Left    int                 `json:"left"` // callers that left
-	Refused map[gate.Reason]int `json:"refused,omitempty"`
+	InTime       int                 `json:"in_time"`
+	Late         int                 `json:"late"`
+	Failed       int                 `json:"failed"`
+	Disconnected int                 `json:"left"` // callers that left
+	Refused      map[gate.Reason]int `json:"refused,omitempty"`
 }
 
-// All returns the number of requests.
-func (c *Counts) All() int { return c.InTime + c.Late + c.Failed + c.Left + c.RefusedAll() }
+// Total returns the number of requests.
+func (c *Counts) Total() int { return c.InTime + c.Late + c.Failed + c.Disconnected + c.TotalRefused() }
 
-// RefusedAll returns the refusals of all reasons.
-func (c *Counts) RefusedAll() int {
+// TotalRefused returns the refusals of all reasons.
+func (c *Counts) TotalRefused() int {
 	all := 0
 	for _, count := range c.Refused {
 		all += count
@@ -40,7 +40,7 @@
 	c.InTime += tally.InTime
 	c.Late += tally.Late
 	c.Failed += tally.Failed
-	c.Left += tally.Disconnected
+	c.Disconnected += tally.Disconnected
 	for reason, count := range tally.Refused {
 		if c.Refused == nil {
 			c.Refused = make(map[gate.Reason]int)
@@ -104,8 +104,8 @@
 	Headroom map[string]float64          `json:"headroom"`
 }
 
-// Take adds a record up. Others than counts are passed over.
-func (r *Report) Take(record Record) error {
+// Add adds a record up. Others than counts are passed over.
+func (r *Report) Add(record Record) error {
 	if record.Event != event.GateRequestCounts.Number {
 		return nil
 	}
--- a/internal/testrelay/relay.go
+++ b/internal/testrelay/relay.go
@@ -30,17 +30,17 @@
 type Config struct {
 	Listen fleet.Address // a free port of 127.0.0.1 when empty
 	Target fleet.Address
-	// AnswerLimit, if not zero, makes the first connection whose answers exceed
+	// BlackholeAfter, if not zero, makes the first connection whose answers exceed
 	// that many bytes go silent by itself; no other one does.
-	AnswerLimit int
+	BlackholeAfter int
 }
 
-// Trouble is what goes wrong on all connections while it lasts. Nothing is lost by it.
-type Trouble struct {
-	Delay    time.Duration // before each piece of data and each end
-	HoldTo   bool          // holds back what goes to the target
-	HoldFrom bool          // holds back what comes from it
-	Trickle  int           // bytes that are carried at once, 0 for no bound
+// Faults is what goes wrong on all connections while it lasts. Nothing is lost by it.
+type Faults struct {
+	Delay          time.Duration // before each piece of data and each end
+	HoldToTarget   bool          // holds back what goes to the target
+	HoldFromTarget bool          // holds back what comes from it
+	TrickleBytes   int           // bytes that are carried at once, 0 for no bound
 }
 
 // Relay forwards connections to a target. Connections that are made after
@@ -51,7 +51,7 @@
 	limited  chan struct{} // closed when the limit has silenced a connection
 	once     sync.Once
 	dropped  atomic.Int64
-	trouble  atomic.Pointer[Trouble]
+	trouble  atomic.Pointer[Faults]
 
 	mu          sync.Mutex
 	connections map[*connection]bool // those that are open
@@ -76,7 +76,7 @@
 		t.Fatal(err)
 	}
 	r := &Relay{config: config, listener: listener, limited: make(chan struct{}), connections: make(map[*connection]bool)}
-	r.SetTrouble(Trouble{})
+	r.SetFaults(Faults{})
 	go r.run()
 	t.Cleanup(r.Close)
 	return r
@@ -85,18 +85,18 @@
 // Close ends the relay and resets its connections.
 func (r *Relay) Close() {
 	r.listener.Close()
-	r.SetTrouble(Trouble{}) // held data would keep its goroutines
+	r.SetFaults(Faults{}) // held data would keep its goroutines
 	r.Reset()
 }
 
 // Address is where the relay listens.
 func (r *Relay) Address() fleet.Address { return fleet.Address(r.listener.Addr().String()) }
 
-// Limited is closed once the answer limit has silenced a connection.
-func (r *Relay) Limited() <-chan struct{} { return r.limited }
+// LimitReached is closed once the answer limit has silenced a connection.
+func (r *Relay) LimitReached() <-chan struct{} { return r.limited }
 
-// Dropped is the number of bytes of answers that silent connections lost.
-func (r *Relay) Dropped() int64 { return r.dropped.Load() }
+// DroppedBytes is the number of bytes of answers that silent connections lost.
+func (r *Relay) DroppedBytes() int64 { return r.dropped.Load() }
 
 // Connections is the number of connections so far.
 func (r *Relay) Connections() int {
@@ -105,11 +105,11 @@
 	return r.made
 }
 
-// SetTrouble changes what goes wrong from now on.
-func (r *Relay) SetTrouble(trouble Trouble) { r.trouble.Store(&trouble) }
+// SetFaults changes what goes wrong from now on.
+func (r *Relay) SetFaults(trouble Faults) { r.trouble.Store(&trouble) }
 
-// Silence makes all connections so far silent.
-func (r *Relay) Silence() {
+// Blackhole makes all connections so far silent.
+func (r *Relay) Blackhole() {
 	for _, c := range r.open() {
 		c.silent.Store(true)
 	}
@@ -166,9 +166,9 @@
 // limit returns a function that gives back what of an answer's next bytes is
 // still carried.
 func (r *Relay) limit(c *connection) func([]byte) []byte {
-	left := r.config.AnswerLimit
+	left := r.config.BlackholeAfter
 	return func(data []byte) []byte {
-		if r.config.AnswerLimit == 0 {
+		if r.config.BlackholeAfter == 0 {
 			return data
 		}
 		if left < len(data) {
@@ -219,14 +219,14 @@
 
 func (c *connection) held(to net.Conn) bool {
 	trouble := c.relay.trouble.Load()
-	return (trouble.HoldTo && to == c.far) || (trouble.HoldFrom && to == c.near)
+	return (trouble.HoldToTarget && to == c.far) || (trouble.HoldFromTarget && to == c.near)
 }
 
 // write writes the data, in small parts while it trickles.
 func (c *connection) write(to net.Conn, data []byte) error {
 	for len(data) > 0 {
 		part := data
-		if most := c.relay.trouble.Load().Trickle; most > 0 && most < len(data) {
+		if most := c.relay.trouble.Load().TrickleBytes; most > 0 && most < len(data) {
 			part = data[:most]
 			time.Sleep(tricklePause)
 		}
--- a/internal/testrelay/relay_test.go
+++ b/internal/testrelay/relay_test.go
@@ -50,14 +50,14 @@
 	const lasts = 100 * time.Millisecond
 	for _, test := range []struct {
 		name     string
-		trouble  Trouble
+		trouble  Faults
 		to, from bool // whether the way is slow
 	}{
-		{"none", Trouble{}, false, false},
-		{"delay", Trouble{Delay: lasts}, true, true},
-		{"held to the target", Trouble{HoldTo: true}, true, false},
-		{"held from the target", Trouble{HoldFrom: true}, false, true},
-		{"trickle", Trouble{Trickle: 1}, true, true},
+		{"none", Faults{}, false, false},
+		{"delay", Faults{Delay: lasts}, true, true},
+		{"held to the target", Faults{HoldToTarget: true}, true, false},
+		{"held from the target", Faults{HoldFromTarget: true}, false, true},
+		{"trickle", Faults{TrickleBytes: 1}, true, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			r, near, far := pair(t)
@@ -65,8 +65,8 @@
 				from, to net.Conn
 				slow     bool
 			}{{near, far, test.to}, {far, near, test.from}} {
-				r.SetTrouble(test.trouble)
-				heal := time.AfterFunc(2*lasts, func() { r.SetTrouble(Trouble{}) })
+				r.SetFaults(test.trouble)
+				heal := time.AfterFunc(2*lasts, func() { r.SetFaults(Faults{}) })
 				took := send(t, way.from, way.to, "twenty bytes of text")
 				heal.Stop()
 				if slow := took >= lasts; slow != way.slow {
