--- a/cmd/internal/gatewiring/gate.go
+++ b/cmd/internal/gatewiring/gate.go
@@ -81,7 +81,7 @@
 	logger    logrus.FieldLogger
 	gate      *gate.Manager
 	peers     *peering.Manager
-	follower  *platform.Watcher
+	watcher   *platform.Watcher
 	readiness *daemon.Readiness
 	registry  *prometheus.Registry
 	reloader  *daemon.Reloader
@@ -103,15 +103,15 @@
 		logger:    do.MustInvoke[logrus.FieldLogger](injector),
 		gate:      manager,
 		peers:     peers,
-		follower:  newFollower(injector, config, store),
+		watcher:   newWatcher(injector, config, store),
 		readiness: do.MustInvoke[*daemon.Readiness](injector),
 		registry:  registry,
 		reloader:  reloader,
 	}, nil
 }
 
-func newFollower(injector do.Injector, config *gate.Config, store *platform.Store) *platform.Watcher {
-	follower := platform.NewWatcher(
+func newWatcher(injector do.Injector, config *gate.Config, store *platform.Store) *platform.Watcher {
+	watcher := platform.NewWatcher(
 		store,
 		do.MustInvoke[*knowledge.State](injector),
 		platform.Bounds{Apply: config.Bounds.ShortestBound(), Revoke: config.Bounds.Revoke, Evacuate: config.Bounds.Evacuate},
@@ -119,9 +119,9 @@
 		do.MustInvoke[logrus.FieldLogger](injector),
 	)
 	if config.Node.NewFleet {
-		follower.DeferFirstLists()
+		watcher.DeferFirstLists()
 	}
-	return follower
+	return watcher
 }
 
 // Run implements daemon.Service.
@@ -130,7 +130,7 @@
 	if s.reloader.Path != "" {
 		group.Go(func() error { return s.reloader.Run(ctx) })
 	}
-	group.Go(func() error { return s.follower.Run(ctx) })
+	group.Go(func() error { return s.watcher.Run(ctx) })
 	group.Go(func() error { return s.store.LogCalls(ctx, s.logger) })
 	group.Go(func() error { return s.peers.Run(ctx) })
 	group.Go(func() error { return s.gate.Run(ctx) })
