--- a/cmd/bluebell-gate/main.go
+++ b/cmd/bluebell-gate/main.go
@@ -1,5 +1,5 @@
-// Command bluebell-gate takes callers' requests on the users' platform and sends
-// them directly to backend servers.
+// Command bluebell-gate is the router for the users' platform. It forwards callers'
+// requests directly to backend servers.
 package main
 
 import (
@@ -15,16 +15,16 @@
 
 const name = "bluebell-gate"
 
-// gcPercent lets the heap grow to three times what is live before it is
-// collected. The live heap is some megabytes, so with the default the collector
-// runs very often: it took a seventh of the processor in BenchmarkStream of
-// package platform. Where memory is short, the limit of the heap makes it run
-// earlier. Memory is paid for as well, so it is not more.
+// gcPercent lets the heap grow to three times the live heap before a collection. The
+// live heap is only some megabytes, so with the default of 100 the collector runs very
+// often and takes a seventh of the CPU time in BenchmarkStream of package platform. If
+// memory is short, the memory limit makes the collector run earlier. The value is not
+// higher because memory costs money as well.
 const gcPercent = 200
 
 func main() { os.Exit(run()) }
 
-// run is the whole main function. It returns the exit status.
+// run runs the program and returns its exit status.
 func run() int {
 	config := new(gate.Config)
 	parsed := daemon.ParseFlags(name, os.Args[1:], config, os.Stdout, os.Stderr)
--- a/cmd/internal/gatewiring/gate.go
+++ b/cmd/internal/gatewiring/gate.go
@@ -1,4 +1,4 @@
-// Package gatewiring puts the parts of a gate together.
+// Package gatewiring assembles the components of a router.
 package gatewiring
 
 import (
@@ -18,8 +18,8 @@
 	"github.com/bluebellchute/bluebellchute/platform"
 )
 
-// Wire provides the parts of a gate. path names its settings file, which is read
-// again when it changes; "" for none.
+// Wire registers the router's components with the injector. path is the settings file, which
+// is reloaded when it changes; "" for none.
 func Wire(injector do.Injector, config *gate.Config, path string, logger logrus.FieldLogger) {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector())
@@ -74,7 +74,7 @@
 	return manager, nil
 }
 
-// Service runs all parts of a gate.
+// Service runs all components of a router.
 type Service struct {
 	config    *gate.Config
 	store     *platform.Store
