--- a/internal/spread/manager_test.go
+++ b/internal/spread/manager_test.go
@@ -21,16 +21,16 @@
 	"github.com/bluebellchute/bluebellchute/internal/spread"
 )
 
-// realNode is a manager with a control port on loopback.
-type realNode struct {
+// testNode is a manager with a control port on loopback.
+type testNode struct {
 	manager  *spread.Manager
 	settings *settings.Replica
 	stop     func()
 }
 
-type ready struct{}
+type alwaysReady struct{}
 
-func (ready) NotReady() string { return "" }
+func (alwaysReady) NotReady() string { return "" }
 
 // portTries limits the search for a free port: another process may take one
 // between its selection and its use.
@@ -51,7 +51,7 @@
 		registry := prometheus.NewRegistry()
 		metrics := control.NewMetrics(registry)
 		server := control.NewServer(control.ServerConfig{
-			Address: address, Token: "secret", Metrics: metrics, Gatherer: registry, Readiness: ready{},
+			Address: address, Token: "secret", Metrics: metrics, Gatherer: registry, Readiness: alwaysReady{},
 		})
 		if server.Listen() == nil {
 			return address, server, registry, metrics
@@ -61,13 +61,13 @@
 	return "", nil, nil, nil
 }
 
-func startReal(t *testing.T, api platform.API, index int, seeds ...fleet.Address) (*realNode, fleet.Address) {
+func startNode(t *testing.T, api platform.API, index int, seeds ...fleet.Address) (*testNode, fleet.Address) {
 	t.Helper()
 	address, server, registry, metrics := listen(t)
 	pool := control.NewPool("secret", metrics)
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
-	node := &realNode{settings: settings.NewReplica()}
+	node := &testNode{settings: settings.NewReplica()}
 	node.manager = spread.NewManager(spread.Options{
 		Config: spread.Config{
 			Self:  fleet.Node{VM: fmt.Sprintf("vm-%d", index), Control: address, Zone: "zone", Incarnation: uint64(index + 1)},
@@ -95,7 +95,7 @@
 }
 
 // await waits until the condition holds and checks it after each change.
-func (n *realNode) await(t *testing.T, condition func() bool) {
+func (n *testNode) await(t *testing.T, condition func() bool) {
 	t.Helper()
 	for {
 		changed, settled := n.manager.Changed(), n.settings.Changed()
@@ -120,10 +120,10 @@
 		t.Fatal(result.Err)
 	}
 	const count = 3
-	var nodes []*realNode
+	var nodes []*testNode
 	var seeds []fleet.Address
 	for i := range count {
-		node, address := startReal(t, store, i, seeds...)
+		node, address := startNode(t, store, i, seeds...)
 		nodes = append(nodes, node)
 		seeds = append(seeds, address)
 	}
@@ -140,7 +140,7 @@
 	}
 	nodes[0].await(t, func() bool { return nodes[0].settings.Revision() == result.Revision })
 	store.SetFaults(platform.Faults{Down: true})
-	late, _ := startReal(t, store, count, seeds...)
+	late, _ := startNode(t, store, count, seeds...)
 	<-late.manager.Joined()
 	nodes = append(nodes, late)
 	for _, node := range nodes {
