--- a/cmd/internal/gatewiring/gate.go
+++ b/cmd/internal/gatewiring/gate.go
@@ -1,4 +1,4 @@
-// Package gatewiring puts the parts of a gate together.
+// Package gatewiring assembles the components of a router.
 package gatewiring
 
 import (
@@ -18,8 +18,8 @@
 	"github.com/bluebellchute/bluebellchute/platform"
 )
 
-// Wire provides the parts of a gate. path names its settings file, which is read
-// again when it changes; "" for none.
+// Wire registers the router's components with the injector. path is the settings file, which
+// is reloaded when it changes; "" for none.
 func Wire(injector do.Injector, config *gate.Config, path string, logger logrus.FieldLogger) {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector())
@@ -32,9 +32,9 @@
 	do.Provide(injector, newPeering)
 	do.Provide(injector, newGate)
 	do.ProvideValue(injector, &daemon.Reloader{
-		Path:   path,
-		Logger: logger,
-		Fresh:  func() any { return new(gate.Config) },
+		Path:      path,
+		Logger:    logger,
+		NewConfig: func() any { return new(gate.Config) },
 	})
 	do.Provide(injector, newService)
 }
@@ -74,14 +74,14 @@
 	return manager, nil
 }
 
-// Service runs all parts of a gate.
+// Service runs all components of a router.
 type Service struct {
 	config    *gate.Config
 	store     *platform.Store
 	logger    logrus.FieldLogger
 	gate      *gate.Manager
 	peers     *peering.Manager
-	follower  *platform.Follower
+	watcher   *platform.Watcher
 	readiness *daemon.Readiness
 	registry  *prometheus.Registry
 	reloader  *daemon.Reloader
@@ -103,15 +103,15 @@
 		logger:    do.MustInvoke[logrus.FieldLogger](injector),
 		gate:      manager,
 		peers:     peers,
-		follower:  newFollower(injector, config, store),
+		watcher:   newWatcher(injector, config, store),
 		readiness: do.MustInvoke[*daemon.Readiness](injector),
 		registry:  registry,
 		reloader:  reloader,
 	}, nil
 }
 
-func newFollower(injector do.Injector, config *gate.Config, store *platform.Store) *platform.Follower {
-	follower := platform.NewFollower(
+func newWatcher(injector do.Injector, config *gate.Config, store *platform.Store) *platform.Watcher {
+	watcher := platform.NewWatcher(
 		store,
 		do.MustInvoke[*knowledge.State](injector),
 		platform.Bounds{Apply: config.Bounds.ShortestBound(), Revoke: config.Bounds.Revoke, Evacuate: config.Bounds.Evacuate},
@@ -119,9 +119,9 @@
 		do.MustInvoke[logrus.FieldLogger](injector),
 	)
 	if config.Node.NewFleet {
-		follower.AwaitOthers()
+		watcher.DeferFirstLists()
 	}
-	return follower
+	return watcher
 }
 
 // Run implements daemon.Service.
@@ -130,8 +130,8 @@
 	if s.reloader.Path != "" {
 		group.Go(func() error { return s.reloader.Run(ctx) })
 	}
-	group.Go(func() error { return s.follower.Run(ctx) })
-	group.Go(func() error { return s.store.RecordCalls(ctx, s.logger) })
+	group.Go(func() error { return s.watcher.Run(ctx) })
+	group.Go(func() error { return s.store.LogCalls(ctx, s.logger) })
 	group.Go(func() error { return s.peers.Run(ctx) })
 	group.Go(func() error { return s.gate.Run(ctx) })
 	group.Go(func() error {
--- a/internal/ctl/app.go
+++ b/internal/ctl/app.go
@@ -23,20 +23,20 @@
 	Drain(ctx context.Context, address fleet.Address, request *rpc.DrainRequest) (*rpc.DrainReply, error)
 }
 
-// App runs one command. Its fields are what the commands need of the world
-// outside, so that a test can put its own in their place.
+// App runs one command. Its fields are the commands' external dependencies, so
+// that a test can replace them.
 type App struct {
 	Stdin          io.Reader
 	Stdout, Stderr io.Writer
 	Random         io.Reader // for API keys
 	OpenPlatform   func(address fleet.Address) platform.API
 	OpenNodes      func(token string) Nodes
-	Retry          settings.Retry // of calls to the platform
-	Wait           func(ctx context.Context, delay time.Duration) error
+	Retry          settings.RetryPolicy // of calls to the platform
+	Sleep          func(ctx context.Context, delay time.Duration) error
 	PrepareEditor  func(editor *settings.Editor) // may be nil
 }
 
-// New returns the app for the process's own streams and the real network.
+// New returns an App that uses the process's standard streams and the network.
 func New() *App {
 	return &App{
 		Stdin: os.Stdin, Stdout: os.Stdout, Stderr: os.Stderr,
@@ -45,12 +45,12 @@
 			return platform.NewClient(address, platform.ClientOptions{})
 		},
 		OpenNodes: newControlNodes,
-		Retry:     settings.DefaultRetry(),
-		Wait:      wait,
+		Retry:     settings.DefaultRetryPolicy(),
+		Sleep:     sleep,
 	}
 }
 
-func wait(ctx context.Context, delay time.Duration) error {
+func sleep(ctx context.Context, delay time.Duration) error {
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	select {
@@ -61,7 +61,7 @@
 	}
 }
 
-// Run runs a command line, without the program's name, and returns the exit
+// Run runs a command line, given without the program name, and returns the exit
 // status.
 func (a *App) Run(args []string) int {
 	session := &session{App: a}
@@ -70,15 +70,15 @@
 	var flagsError *flags.Error
 	switch {
 	case err == nil:
-		return ExitDone
+		return ExitSuccess
 	case errors.As(err, &flagsError) && flagsError.Type == flags.ErrHelp:
 		fmt.Fprintln(a.Stdout, err)
-		return ExitDone
+		return ExitSuccess
 	case errors.As(err, &flagsError):
 		fmt.Fprintf(a.Stderr, "bluebellctl: %v\n", err)
 		return ExitUsage
 	default:
 		fmt.Fprintf(a.Stderr, "bluebellctl: %v\n", err)
-		return statusOf(err)
+		return exitStatus(err)
 	}
 }
--- a/internal/daemon/flags.go
+++ b/internal/daemon/flags.go
@@ -12,9 +12,9 @@
 
 // Exit statuses of all daemons.
 const (
-	ExitDone      = 0
-	ExitFailed    = 1
-	ExitBadConfig = 2 // wrong flags or a wrong configuration
+	ExitSuccess   = 0
+	ExitFailure   = 1
+	ExitBadConfig = 2 // invalid flags or configuration
 )
 
 // Flags are the command line flags of all daemons.
@@ -25,69 +25,70 @@
 	Version     bool   `long:"version" description:"Print the version and exit."`
 }
 
-// Verdict tells what a process does after its flags have been handled.
-type Verdict struct {
-	Exit   bool // end now with Status
-	Status int
-	Config string // path of the configuration file, when the process goes on
+// ParseResult is what a process does after its flags have been parsed.
+type ParseResult struct {
+	Exit       bool // exit immediately with ExitStatus
+	ExitStatus int
+	ConfigPath string // path of the configuration file if the process continues
 }
 
-// ParseFlags handles the command line and reads the configuration file into
-// config, which package inifile binds. Mistakes go to stderr, all of them.
-func ParseFlags(name string, args []string, config any, stdout, stderr io.Writer) Verdict {
+// ParseFlags parses the command line and reads the configuration file into
+// config, which package inifile binds. It reports all problems of the file on
+// stderr.
+func ParseFlags(name string, args []string, config any, stdout, stderr io.Writer) ParseResult {
 	var options Flags
 	parser := flags.NewNamedParser(name, flags.HelpFlag|flags.PassDoubleDash)
 	if _, err := parser.AddGroup("Options", "", &options); err != nil {
-		panic(err) // a mistake in the tags of Flags
+		panic(err) // invalid struct tags of Flags
 	}
 	rest, err := parser.ParseArgs(args)
 	var flagsError *flags.Error
 	if errors.As(err, &flagsError) && flagsError.Type == flags.ErrHelp {
 		fmt.Fprintln(stdout, err)
-		return Verdict{Exit: true, Status: ExitDone}
+		return ParseResult{Exit: true, ExitStatus: ExitSuccess}
 	}
 	if err == nil && len(rest) > 0 {
 		err = errors.Errorf("unexpected argument %q", rest[0])
 	}
 	if err != nil {
 		fmt.Fprintf(stderr, "%s: %v\n", name, err)
-		return Verdict{Exit: true, Status: ExitBadConfig}
+		return ParseResult{Exit: true, ExitStatus: ExitBadConfig}
 	}
-	return options.follow(name, config, stdout, stderr)
+	return options.apply(name, config, stdout, stderr)
 }
 
-func (o Flags) follow(name string, config any, stdout, stderr io.Writer) Verdict {
+func (o Flags) apply(name string, config any, stdout, stderr io.Writer) ParseResult {
 	if o.Version {
 		fmt.Fprintf(stdout, "%s %s\n", name, Version())
-		return Verdict{Exit: true, Status: ExitDone}
+		return ParseResult{Exit: true, ExitStatus: ExitSuccess}
 	}
 	if o.Config == "" {
-		return o.withoutFile(name, config, stdout, stderr)
+		return o.applyWithoutFile(name, config, stdout, stderr)
 	}
 	if err := inifile.Read(o.Config, config); err != nil {
 		fmt.Fprintln(stderr, err)
-		return Verdict{Exit: true, Status: ExitBadConfig}
+		return ParseResult{Exit: true, ExitStatus: ExitBadConfig}
 	}
 	if o.PrintConfig {
-		return printed(inifile.Write(stdout, config))
+		return printResult(inifile.Write(stdout, config))
 	}
 	if o.CheckConfig {
-		return Verdict{Exit: true, Status: ExitDone}
+		return ParseResult{Exit: true, ExitStatus: ExitSuccess}
 	}
-	return Verdict{Config: o.Config}
+	return ParseResult{ConfigPath: o.Config}
 }
 
-func (o Flags) withoutFile(name string, config any, stdout, stderr io.Writer) Verdict {
+func (o Flags) applyWithoutFile(name string, config any, stdout, stderr io.Writer) ParseResult {
 	if o.PrintConfig {
-		return printed(inifile.WriteDefault(stdout, config))
+		return printResult(inifile.WriteDefault(stdout, config))
 	}
 	fmt.Fprintf(stderr, "%s: --config is required\n", name)
-	return Verdict{Exit: true, Status: ExitBadConfig}
+	return ParseResult{Exit: true, ExitStatus: ExitBadConfig}
 }
 
-func printed(err error) Verdict {
+func printResult(err error) ParseResult {
 	if err != nil {
-		return Verdict{Exit: true, Status: ExitFailed}
+		return ParseResult{Exit: true, ExitStatus: ExitFailure}
 	}
-	return Verdict{Exit: true, Status: ExitDone}
+	return ParseResult{Exit: true, ExitStatus: ExitSuccess}
 }
--- a/internal/spread/manager_test.go
+++ b/internal/spread/manager_test.go
@@ -21,19 +21,19 @@
 	"github.com/bluebellchute/bluebellchute/internal/spread"
 )
 
-// realNode is a manager with a control port on loopback.
-type realNode struct {
+// testNode is a manager with a control port on loopback.
+type testNode struct {
 	manager  *spread.Manager
 	settings *settings.Replica
 	stop     func()
 }
 
-type ready struct{}
+type alwaysReady struct{}
 
-func (ready) NotReady() string { return "" }
+func (alwaysReady) NotReady() string { return "" }
 
-// portTries bounds the search for a free port: another process may take one
-// between its choice and its use.
+// portTries limits the search for a free port: another process may take one
+// between its selection and its use.
 const portTries = 50
 
 // listen opens a control port and returns its server, registry and metrics.
@@ -51,7 +51,7 @@
 		registry := prometheus.NewRegistry()
 		metrics := control.NewMetrics(registry)
 		server := control.NewServer(control.ServerConfig{
-			Address: address, Token: "secret", Metrics: metrics, Gatherer: registry, Readiness: ready{},
+			Address: address, Token: "secret", Metrics: metrics, Gatherer: registry, Readiness: alwaysReady{},
 		})
 		if server.Listen() == nil {
 			return address, server, registry, metrics
@@ -61,19 +61,19 @@
 	return "", nil, nil, nil
 }
 
-func startReal(t *testing.T, api platform.API, index int, seeds ...fleet.Address) (*realNode, fleet.Address) {
+func startNode(t *testing.T, api platform.API, index int, seeds ...fleet.Address) (*testNode, fleet.Address) {
 	t.Helper()
 	address, server, registry, metrics := listen(t)
 	pool := control.NewPool("secret", metrics)
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
-	node := &realNode{settings: settings.NewReplica()}
+	node := &testNode{settings: settings.NewReplica()}
 	node.manager = spread.NewManager(spread.Options{
 		Config: spread.Config{
 			Self:  fleet.Node{VM: fmt.Sprintf("vm-%d", index), Control: address, Zone: "zone", Incarnation: uint64(index + 1)},
 			Seeds: seeds,
-			// Short, so that the test need not wait long after the outage.
-			MostBackoff: 300 * time.Millisecond,
+			// Short, so that the test does not wait long after the outage.
+			MaxBackoff: 300 * time.Millisecond,
 		},
 		Settings: node.settings, Platform: api, Peers: pool, Registerer: registry, Logger: logger,
 	})
@@ -94,8 +94,8 @@
 	return node, address
 }
 
-// await waits until the condition holds, looking again at each change.
-func (n *realNode) await(t *testing.T, condition func() bool) {
+// await waits until the condition holds and checks it after each change.
+func (n *testNode) await(t *testing.T, condition func() bool) {
 	t.Helper()
 	for {
 		changed, settled := n.manager.Changed(), n.settings.Changed()
@@ -111,8 +111,8 @@
 	}
 }
 
-// TestManagers runs real managers through a start, an edit, an outage with a
-// cold restart, a verdict, a drain and an orderly end.
+// TestManagers runs managers over real ports through a start, an edit, an
+// outage with a cold restart, a verdict, a drain and a shutdown.
 func TestManagers(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	store := platform.NewStore(platform.StoreOptions{NodesMakeVMs: true})
@@ -120,10 +120,10 @@
 		t.Fatal(result.Err)
 	}
 	const count = 3
-	var nodes []*realNode
+	var nodes []*testNode
 	var seeds []fleet.Address
 	for i := range count {
-		node, address := startReal(t, store, i, seeds...)
+		node, address := startNode(t, store, i, seeds...)
 		nodes = append(nodes, node)
 		seeds = append(seeds, address)
 	}
@@ -134,13 +134,13 @@
 	edit := settings.Edit{Operator: "test", Changes: []settings.Change{
 		{Op: settings.OpSet, Path: "partner/team", Key: settings.KeyWeight, After: "2"},
 	}}
-	result := settings.NewEditor(store, settings.DefaultRetry()).Submit(t.Context(), edit)
+	result := settings.NewEditor(store, settings.DefaultRetryPolicy()).Submit(t.Context(), edit)
 	if result.Outcome != settings.OutcomeAccepted {
 		t.Fatal(result)
 	}
 	nodes[0].await(t, func() bool { return nodes[0].settings.Revision() == result.Revision })
 	store.SetFaults(platform.Faults{Down: true})
-	late, _ := startReal(t, store, count, seeds...)
+	late, _ := startNode(t, store, count, seeds...)
 	<-late.manager.Joined()
 	nodes = append(nodes, late)
 	for _, node := range nodes {
@@ -165,6 +165,6 @@
 	}
 	stopping.Wait()
 	if left, _, _ := store.List(t.Context(), platform.NodePrefix); len(left) != 0 {
-		t.Errorf("records left: %v", left)
+		t.Errorf("records remain after shutdown: %v", left)
 	}
 }
