--- a/internal/control/class.go
+++ b/internal/control/class.go
@@ -8,7 +8,7 @@
 	"github.com/bluebellchute/bluebellchute/internal/fleet"
 )
 
-// Class groups control messages by their purpose for the byte counts.
+// Class is a group of control messages with the same purpose, for the byte counts.
 type Class int
 
 // The classes of control messages.
@@ -18,34 +18,34 @@
 	ClassTally                 // Report
 	ClassSettings              // Sync
 	ClassFence                 // Fence, Cancel and Claim
-	ClassOther                 // Drain, Status and calls that are unknown
-	ClassScrape                // metrics and health, which come from outside the fleet
-	ClassFraming               // what is not a message's body: headers, pings, HTTP/2 frames
+	ClassOther                 // Drain, Status and unknown methods
+	ClassScrape                // metrics and health checks, called from outside the fleet
+	ClassFraming               // bytes outside message bodies: headers, pings, HTTP/2 frames
 	classCount
 )
 
-// String returns the value of the metric's label.
+// String returns the value of the metric's label class.
 func (c Class) String() string {
 	return [classCount]string{"offer", "grant", "tally", "settings", "fence", "other", "scrape", "framing"}[c]
 }
 
 const (
-	// callTimeout bounds a call that moves a few kilobytes at most.
+	// callTimeout bounds a call that transfers at most a few kilobytes.
 	callTimeout = 1500 * time.Millisecond
-	// bulkTimeout bounds a call that may move the whole settings tree.
+	// bulkTimeout bounds a call that may transfer the complete settings tree.
 	bulkTimeout = 5 * time.Second
 )
 
-// method is what the package knows of one twirp method.
+// method holds the properties of one twirp method.
 type method struct {
 	class   Class
-	step    fleet.Step // at which an error of the method arises
+	step    fleet.Step // the step that errors of the method name
 	timeout time.Duration
 }
 
-// methodNamed returns the method of that name. Names are unique over the three
+// methodByName returns the method of a name. Names are unique across the three
 // services.
-func methodNamed(name string) method {
+func methodByName(name string) method {
 	switch name {
 	case "Offer", "Free":
 		return method{class: ClassOffer, step: fleet.StepOffer, timeout: callTimeout}
@@ -69,5 +69,5 @@
 	if !strings.HasPrefix(urlPath, twirpPrefix) {
 		return ClassScrape
 	}
-	return methodNamed(path.Base(urlPath)).class
+	return methodByName(path.Base(urlPath)).class
 }
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -18,8 +18,8 @@
 	"github.com/bluebellchute/bluebellchute/internal/testrelay"
 )
 
-// patience ends a test whose event never comes. It decides nothing else.
-const patience = 30 * time.Second
+// testTimeout bounds the wait for an event. No result depends on its length.
+const testTimeout = 30 * time.Second
 
 type peer struct{ rpc.Peer }
 
@@ -31,7 +31,7 @@
 
 func (r *readiness) NotReady() string { return r.reason.Load().(string) }
 
-// node is a server on a free loopback port.
+// node is a running server on a free loopback port.
 type node struct {
 	address   fleet.Address
 	metrics   *Metrics
@@ -67,11 +67,11 @@
 }
 
 func status(pool *Pool, address fleet.Address) error {
-	return statusIn(pool, address, patience)
+	return statusWithin(pool, address, testTimeout)
 }
 
-// statusIn makes a call that is given up after a time.
-func statusIn(pool *Pool, address fleet.Address, timeout time.Duration) error {
+// statusWithin calls Status and cancels the call after the timeout.
+func statusWithin(pool *Pool, address fleet.Address, timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	_, err := pool.Peer(address).Status(ctx, &rpc.StatusRequest{})
@@ -93,8 +93,8 @@
 	}
 }
 
-// TestClassesAddUp checks that the two ends agree on the bytes of a message
-// and that all classes together are what the connections carried.
+// TestClassesAddUp checks that both ends count the same bytes for a message, and
+// that the classes add up to the bytes of the connections.
 func TestClassesAddUp(t *testing.T) {
 	n := startNode(t)
 	client := NewMetrics(prometheus.NewRegistry())
@@ -107,14 +107,14 @@
 	}
 	const wantAnswers = 3 * 1003 // 1000 bytes of text with tag and length
 	if got := client.bytes(ClassOther, directionIn); got != wantAnswers {
-		t.Errorf("client received %d bytes of answers, want %d", got, wantAnswers)
+		t.Errorf("client received %d bytes of replies, want %d", got, wantAnswers)
 	}
 	if got := n.metrics.bytes(ClassOther, directionOut); got != wantAnswers {
-		t.Errorf("server sent %d bytes of answers, want %d", got, wantAnswers)
+		t.Errorf("server sent %d bytes of replies, want %d", got, wantAnswers)
 	}
 	framing := client.bytes(ClassFraming, directionIn)
 	if framing == 0 || framing+wantAnswers != client.connections[directionIn].Load() {
-		t.Errorf("%d bytes of framing do not fill up %d at the connection",
+		t.Errorf("%d bytes of framing and the bodies do not add up to %d bytes at the connection",
 			framing, client.connections[directionIn].Load())
 	}
 }
@@ -145,10 +145,9 @@
 	}
 }
 
-// Symptom: calls to one peer time out for good, while the peer is well.
-// Sequence: a call opens a connection; something on the way forgets it and
-// drops what it carries; further calls go out on the same connection.
-// Cause: nothing closes a TCP connection on which no answer comes.
+// Guards against calls to a healthy peer that time out permanently: a device on the
+// path drops the state of an open connection and loses all its packets, and further
+// calls use the same connection, which nothing closes.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	n := startNode(t)
 	r := testrelay.Start(t, testrelay.Config{Target: n.address})
@@ -160,11 +159,11 @@
 	}
 	before := r.Connections()
 	r.Blackhole()
-	deadline := time.Now().Add(patience)
-	// Each call is given up sooner than a connection is found silent.
-	for statusIn(pool, address, probeAfter/4) != nil {
+	deadline := time.Now().Add(testTimeout)
+	// Each call is cancelled before the connection can be found dead.
+	for statusWithin(pool, address, probeDelay/4) != nil {
 		if time.Now().After(deadline) {
-			t.Fatal("the silent connection was never replaced")
+			t.Fatal("the dead connection was never replaced")
 		}
 	}
 	if r.Connections() == before {
@@ -172,10 +171,8 @@
 	}
 }
 
-// Symptom: a fence waits for a silent connection to be found, although another
-// connection would work at once.
-// Sequence: as above, but the call needs an answer now.
-// Cause: calls to one peer share its connection.
+// Guards against a fence that waits until a dead connection is detected, although a
+// new connection would work immediately: ordinary calls to a peer share a connection.
 func TestFreshAgentAvoidsSilentConnection(t *testing.T) {
 	n := startNode(t)
 	r := testrelay.Start(t, testrelay.Config{Target: n.address})
@@ -189,6 +186,6 @@
 	_, err := pool.FreshAgent(address).Fence(context.Background(), &rpc.FenceRequest{})
 	var twirpError twirp.Error
 	if !errors.As(err, &twirpError) || twirpError.Code() != twirp.BadRoute {
-		t.Errorf("error %v, want the node's answer that it is no agent", err)
+		t.Errorf("error %v, want the node's reply that it is no agent", err)
 	}
 }
--- a/internal/control/count.go
+++ b/internal/control/count.go
@@ -6,7 +6,7 @@
 	"net/http"
 )
 
-// countingListener counts the bytes of the connections that it accepts.
+// countingListener counts the bytes of the accepted connections.
 type countingListener struct {
 	net.Listener
 	metrics *Metrics
@@ -38,7 +38,7 @@
 	return n, err
 }
 
-// countingBody counts the bytes read from a body of one class.
+// countingBody counts the bytes read from a body.
 type countingBody struct {
 	io.ReadCloser
 	metrics *Metrics
@@ -51,7 +51,7 @@
 	return n, err
 }
 
-// countingWriter counts the bytes written as the answer to a call of one class.
+// countingWriter counts the bytes written to a response.
 type countingWriter struct {
 	http.ResponseWriter
 	metrics *Metrics
@@ -64,5 +64,5 @@
 	return n, err
 }
 
-// Unwrap lets http.ResponseController reach the connection.
+// Unwrap returns the wrapped writer, for http.ResponseController.
 func (w countingWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
--- a/internal/control/data.go
+++ b/internal/control/data.go
@@ -2,26 +2,26 @@
 
 import "bytes"
 
-// DataToken guards the data path between routers and agents with the fleet's
-// token. Whoever reaches an agent's data port could otherwise run requests in
-// the name of any client account. Without a secret, as in tests within one
-// process, everything is accepted.
+// DataToken authenticates requests on the data path between routers and agents by
+// the fleet's token. Without it, anyone who reaches an agent's data port could run
+// requests on behalf of any client account. If the secret is empty, as in tests
+// within one process, all requests are accepted.
 type DataToken struct {
-	token token
-	open  bool
+	token     token
+	acceptAll bool
 }
 
-// NewDataToken returns the guard for the secret that all nodes share.
+// NewDataToken returns the DataToken of the secret that all nodes share.
 func NewDataToken(secret string) DataToken {
-	return DataToken{token: newToken(secret), open: secret == ""}
+	return DataToken{token: newToken(secret), acceptAll: secret == ""}
 }
 
-// Header returns the name and the value of the header that carries the token.
+// Header returns the name and value of the header that carries the token.
 func (t DataToken) Header() (name, value string) { return authorizationHeader, t.token.header }
 
-// Accepts tells whether the value of that header carries the token.
+// Accepts reports whether the header value carries the token.
 func (t DataToken) Accepts(value []byte) bool {
-	if t.open {
+	if t.acceptAll {
 		return true
 	}
 	secret, ok := bytes.CutPrefix(value, []byte(bearerPrefix))
--- a/internal/control/framing_test.go
+++ b/internal/control/framing_test.go
@@ -6,9 +6,9 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Symptom: half of a node's control traffic is framing. Sequence: calls follow
-// each other on one connection, seconds apart. Cause: a header that changes
-// each second is sent uncompressed with every reply.
+// Guards against framing that makes up half of the control traffic: with calls seconds
+// apart on one connection, a header that changes each second is sent uncompressed with
+// every reply.
 func TestRepliesCarryNoDate(t *testing.T) {
 	n := startNode(t)
 	pool := NewPool("secret", NewMetrics(prometheus.NewRegistry()))
@@ -23,8 +23,7 @@
 	}
 }
 
-// BenchmarkCall gives the processor time of one small call, client and server
-// together, for docs/CAPACITY.md.
+// BenchmarkCall measures the CPU time of one small call, client and server together.
 func BenchmarkCall(b *testing.B) {
 	n := startNode(b)
 	pool := NewPool("secret", NewMetrics(prometheus.NewRegistry()))
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// direction tells whether bytes came in or went out.
+// direction is the direction in which bytes are transferred.
 type direction int
 
 const (
@@ -20,15 +20,15 @@
 }
 
 // Metrics counts the control traffic of one node, as server and as client. It
-// is a prometheus.Collector with one metric, whose classes add up to all bytes
-// that were read or written at the connections.
+// is a prometheus.Collector with one metric. The classes add up to all bytes read
+// from or written to the connections.
 type Metrics struct {
 	bodies      [classCount][directionCount]atomic.Uint64
 	connections [directionCount]atomic.Uint64
 	description *prometheus.Desc
 }
 
-// NewMetrics returns counts at 0 and registers them.
+// NewMetrics returns a Metrics with all counts at 0 and registers it.
 func NewMetrics(registerer prometheus.Registerer) *Metrics {
 	m := &Metrics{description: prometheus.NewDesc(
 		"bluebell_control_bytes_total",
@@ -54,8 +54,8 @@
 	}
 }
 
-// bytes returns the count of one class. Framing is what the connections
-// carried beyond the bodies.
+// bytes returns the count of one class. The count of ClassFraming is that of the
+// connections minus that of all bodies.
 func (m *Metrics) bytes(class Class, d direction) uint64 {
 	if class != ClassFraming {
 		return m.bodies[class][d].Load()
@@ -65,17 +65,18 @@
 		bodies += m.bodies[other][d].Load()
 	}
 	total := m.connections[d].Load()
-	// A body is counted before it is written, so the sum may be ahead.
+	// A body is counted before it is written, so its bytes may not be in the
+	// connections' count yet.
 	return total - min(total, bodies)
 }
 
-// CountGrantsSent adds grants that went out on the data path.
-func (m *Metrics) CountGrantsSent(bytes int) { m.addCarried(directionOut, bytes) }
+// CountGrantsSent counts the bytes of grants sent on the data path.
+func (m *Metrics) CountGrantsSent(bytes int) { m.addGrants(directionOut, bytes) }
 
-// CountGrantsReceived adds grants that came in on the data path.
-func (m *Metrics) CountGrantsReceived(bytes int) { m.addCarried(directionIn, bytes) }
+// CountGrantsReceived counts the bytes of grants received on the data path.
+func (m *Metrics) CountGrantsReceived(bytes int) { m.addGrants(directionIn, bytes) }
 
-func (m *Metrics) addCarried(d direction, bytes int) {
+func (m *Metrics) addGrants(d direction, bytes int) {
 	m.addConnection(d, bytes)
 	m.addBody(ClassGrant, d, bytes)
 }
--- a/internal/control/pool.go
+++ b/internal/control/pool.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection.
+	// dialTimeout bounds the time to open a connection.
 	dialTimeout = 700 * time.Millisecond
-	// idleTimeout closes connections without calls, so that hundreds of peers
-	// that have nothing to say to each other cost no memory.
+	// idleTimeout is the time after which an idle connection is closed, so that
+	// hundreds of peers without calls to each other use no memory.
 	idleTimeout = 10 * time.Second
 )
 
-// Pool calls the services of a node's peers. All calls to one peer share a
-// connection. A call is never repeated by the pool.
+// Pool calls the services of a node's peers. All calls to a peer share one
+// connection. The pool never retries a call.
 type Pool struct {
 	token     token
 	metrics   *Metrics
@@ -29,8 +29,8 @@
 	fresh     *http.Transport
 }
 
-// NewPool returns a pool without connections. secret is the token that all
-// nodes of the fleet share.
+// NewPool returns a Pool that has no connections yet. secret is the token that
+// all nodes of the fleet share.
 func NewPool(secret string, metrics *Metrics) *Pool {
 	p := &Pool{token: newToken(secret), metrics: metrics}
 	p.transport = p.newTransport()
@@ -39,14 +39,14 @@
 	return p
 }
 
-// Agent returns a client of the agent at a control address. Clients are cheap
-// and may be kept or thrown away.
+// Agent returns a client of the agent at a control address. Clients are cheap to
+// create and safe to keep.
 func (p *Pool) Agent(address fleet.Address) rpc.Agent {
 	return rpc.NewAgentProtobufClient(baseURL(address), p.client(p.transport), interceptor(address))
 }
 
-// FreshAgent returns a client that opens a new connection for each call. It is
-// for calls that must not wait until a silent connection has been found.
+// FreshAgent returns a client that opens a new connection for each call, for
+// calls that can't wait until a dead shared connection is detected.
 func (p *Pool) FreshAgent(address fleet.Address) rpc.Agent {
 	return rpc.NewAgentProtobufClient(baseURL(address), p.client(p.fresh), interceptor(address))
 }
@@ -56,12 +56,12 @@
 	return rpc.NewRouterProtobufClient(baseURL(address), p.client(p.transport), interceptor(address))
 }
 
-// Peer returns a client of the node at a control address, whatever its role.
+// Peer returns a client of the node at a control address, for either role.
 func (p *Pool) Peer(address fleet.Address) rpc.Peer {
 	return rpc.NewPeerProtobufClient(baseURL(address), p.client(p.transport), interceptor(address))
 }
 
-// Close closes the connections that carry no call.
+// Close closes the idle connections.
 func (p *Pool) Close() {
 	p.transport.CloseIdleConnections()
 	p.fresh.CloseIdleConnections()
@@ -79,7 +79,7 @@
 	transport := &http.Transport{
 		Protocols:       &protocols,
 		IdleConnTimeout: idleTimeout,
-		HTTP2:           &http.HTTP2Config{WriteByteTimeout: probeAfter + probeTimeout},
+		HTTP2:           &http.HTTP2Config{WriteByteTimeout: probeDelay + probeTimeout},
 	}
 	dialer := net.Dialer{Timeout: dialTimeout}
 	transport.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -92,7 +92,8 @@
 	return transport
 }
 
-// countingTransport adds the token to each request and counts the bodies.
+// countingTransport adds the token to each request and counts the bytes of the
+// bodies.
 type countingTransport struct {
 	pool *Pool
 	next *http.Transport
@@ -101,10 +102,10 @@
 // RoundTrip implements http.RoundTripper.
 func (t countingTransport) RoundTrip(request *http.Request) (*http.Response, error) {
 	class := classOfPath(request.URL.Path)
-	signed := request.Clone(watchCalls(request.Context()))
-	t.pool.token.sign(signed.Header)
-	t.pool.metrics.addBody(class, directionOut, int(signed.ContentLength))
-	response, err := t.next.RoundTrip(signed)
+	authorized := request.Clone(withReplyTracking(request.Context()))
+	t.pool.token.addTo(authorized.Header)
+	t.pool.metrics.addBody(class, directionOut, int(authorized.ContentLength))
+	response, err := t.next.RoundTrip(authorized)
 	if err != nil {
 		return nil, err
 	}
@@ -112,18 +113,18 @@
 	return response, nil
 }
 
-// interceptor bounds the time of each call and gives its error the step and
-// the peer. errors.As still finds the twirp.Error inside.
+// interceptor limits the time of each call and adds the step and the peer to its
+// error. errors.As still finds the wrapped twirp.Error.
 func interceptor(peer fleet.Address) twirp.ClientOption {
 	return twirp.WithClientInterceptors(func(next twirp.Method) twirp.Method {
 		return func(ctx context.Context, request any) (any, error) {
 			name, _ := twirp.MethodName(ctx)
-			method := methodNamed(name)
+			method := methodByName(name)
 			bounded, cancel := context.WithTimeout(ctx, method.timeout)
 			defer cancel()
 			response, err := next(bounded, request)
 			if err == nil {
-				putBackSender(response, peer)
+				restoreSender(response, peer)
 			}
 			return response, fleet.Wrap(err, method.step, peer)
 		}
--- a/internal/control/sender.go
+++ b/internal/control/sender.go
@@ -12,15 +12,15 @@
 // enveloped is a message with an envelope.
 type enveloped interface{ GetEnvelope() *rpc.Envelope }
 
-// WithoutSender leaves the sender out of the envelopes of a service's replies.
-// The caller knows whom it called, and the address would be a third of most
-// replies; the Pool puts it back. Each reply must have an envelope of its own.
+// WithoutSender omits the sender from the envelopes of a service's replies. The
+// address would be a third of most replies, and the client knows it: Pool restores
+// it. Each reply must have an envelope of its own.
 func WithoutSender() twirp.ServerOption {
-	return twirp.WithServerInterceptors(leaveOutSender)
+	return twirp.WithServerInterceptors(omitSender)
 }
 
-// leaveOutSender is a server's interceptor.
-func leaveOutSender(next twirp.Method) twirp.Method {
+// omitSender is the server interceptor of WithoutSender.
+func omitSender(next twirp.Method) twirp.Method {
 	return func(ctx context.Context, request any) (any, error) {
 		response, err := next(ctx, request)
 		if message, ok := response.(enveloped); ok && err == nil {
@@ -32,8 +32,8 @@
 	}
 }
 
-// putBackSender names the peer in the envelope of its reply.
-func putBackSender(response any, peer fleet.Address) {
+// restoreSender sets the sender in the envelope of a peer's reply.
+func restoreSender(response any, peer fleet.Address) {
 	message, ok := response.(enveloped)
 	if !ok {
 		return
--- a/internal/control/sender_test.go
+++ b/internal/control/sender_test.go
@@ -9,16 +9,15 @@
 	"github.com/bluebellchute/bluebellchute/internal/rpc"
 )
 
-// namedAgent replies with an envelope that names another sender than the
-// address that is called.
+// namedAgent replies with an envelope whose sender differs from the called address.
 type namedAgent struct{ rpc.Agent }
 
 func (namedAgent) Offer(context.Context, *rpc.OfferRequest) (*rpc.OfferReply, error) {
 	return &rpc.OfferReply{Envelope: &rpc.Envelope{Sender: "10.0.0.1:1", Incarnation: 7}}, nil
 }
 
-// TestRepliesNameTheirSender checks that the sender of a reply is left out on
-// the way and is the called peer again at the caller.
+// TestRepliesNameTheirSender checks that the sender of a reply is omitted in
+// transit, and that the client sets it to the called address.
 func TestRepliesNameTheirSender(t *testing.T) {
 	n := startNode(t, rpc.NewAgentServer(namedAgent{}, WithoutSender()))
 	pool := NewPool("secret", NewMetrics(prometheus.NewRegistry()))
--- a/internal/control/server.go
+++ b/internal/control/server.go
@@ -23,23 +23,24 @@
 	// maxBodyBytes bounds a control message. The largest ones carry chunks of
 	// the settings tree.
 	maxBodyBytes = 8 << 20
-	// headerTimeout bounds the wait for a request's header, so that a slow
-	// sender can't hold connections open for nothing.
+	// headerTimeout bounds the time to read a request's header, so that a slow
+	// client can't hold connections open.
 	headerTimeout = 2 * time.Second
-	// serverIdleTimeout is longer than the clients' idleTimeout: the side that
-	// calls closes first, and no call meets a connection that has just gone.
+	// serverIdleTimeout is longer than the clients' idleTimeout, so that clients
+	// close first: a call never fails on a connection that the server has just
+	// closed.
 	serverIdleTimeout = 3 * idleTimeout
-	// shutdownTimeout bounds the wait for calls in progress at the end.
+	// shutdownTimeout bounds the wait for calls in progress at shutdown.
 	shutdownTimeout = time.Second
 )
 
-// Readiness tells whether a node should get work.
+// Readiness reports whether a node should receive work.
 type Readiness interface {
-	// NotReady returns why the node isn't ready, or "" when it is.
+	// NotReady returns the reason why the node isn't ready, or "" if it is.
 	NotReady() string
 }
 
-// ServerConfig is what a Server needs.
+// ServerConfig holds the configuration and dependencies of a Server.
 type ServerConfig struct {
 	Address   fleet.Address
 	Token     string // shared by all nodes of the fleet
@@ -56,8 +57,8 @@
 	listener net.Listener
 }
 
-// NewServer returns a server that serves metrics and health only, until
-// services are registered.
+// NewServer returns a Server. Until services are registered, it serves only
+// metrics and health checks.
 func NewServer(config ServerConfig) *Server {
 	s := &Server{config: config, token: newToken(config.Token), mux: http.NewServeMux()}
 	s.mux.Handle("GET /metrics", promhttp.HandlerFor(config.Gatherer, promhttp.HandlerOpts{}))
@@ -71,7 +72,7 @@
 	s.mux.Handle(service.PathPrefix(), s.requireToken(service))
 }
 
-// Listen opens the control port. Run calls it if nobody has.
+// Listen opens the control port. Run calls it if it hasn't been called.
 func (s *Server) Listen() error {
 	if s.listener != nil {
 		return nil
@@ -84,7 +85,7 @@
 	return nil
 }
 
-// Run serves until the context ends, then lets calls in progress end.
+// Run serves until the context ends, then waits for the calls in progress.
 func (s *Server) Run(ctx context.Context) error {
 	if err := s.Listen(); err != nil {
 		return err
@@ -110,7 +111,7 @@
 	return nil
 }
 
-// serverProtocols are HTTP/2 for the nodes and HTTP/1 for scrapers and people.
+// serverProtocols returns HTTP/2, for nodes, and HTTP/1, for scrapers and operators.
 func serverProtocols() *http.Protocols {
 	var protocols http.Protocols
 	protocols.SetHTTP1(true)
@@ -118,11 +119,11 @@
 	return &protocols
 }
 
-// dateHeader changes each second, so HTTP/2 cannot compress it, and no node
-// reads it. A nil value keeps the server from adding it.
+// dateHeader is suppressed by a nil value: it changes each second, so HTTP/2 can't
+// compress it, and no node reads it.
 const dateHeader = "Date"
 
-// countBodies counts the bodies of all calls by class and bounds them.
+// countBodies counts the bytes of all bodies by class and limits their size.
 func (s *Server) countBodies(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		class := classOfPath(r.URL.Path)
@@ -133,8 +134,8 @@
 	})
 }
 
-// requireToken refuses calls without the fleet's token: whoever reaches the
-// port could otherwise drain servers and take settings with key hashes.
+// requireToken rejects calls without the fleet's token. Without it, anyone who
+// reaches the port could drain servers and read settings with key hashes.
 func (s *Server) requireToken(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !s.token.accepts(r.Header) {
--- a/internal/control/token.go
+++ b/internal/control/token.go
@@ -12,8 +12,8 @@
 	bearerPrefix        = "Bearer "
 )
 
-// token is the secret that all nodes of a fleet share. Only its hash is
-// compared, so that the time it takes tells nothing of its length or content.
+// token is the secret that all nodes of a fleet share. Only hashes are compared,
+// so that the time of a comparison reveals neither its length nor its content.
 type token struct {
 	header string
 	hash   [sha256.Size]byte
@@ -23,12 +23,12 @@
 	return token{header: bearerPrefix + secret, hash: sha256.Sum256([]byte(secret))}
 }
 
-// sign adds the token to a request.
-func (t token) sign(header http.Header) {
+// addTo adds the token to a request's header.
+func (t token) addTo(header http.Header) {
 	header.Set(authorizationHeader, t.header)
 }
 
-// accepts reports whether a request carries the token.
+// accepts reports whether a request's header carries the token.
 func (t token) accepts(header http.Header) bool {
 	secret, ok := strings.CutPrefix(header.Get(authorizationHeader), bearerPrefix)
 	return ok && t.matches([]byte(secret))
--- a/internal/control/watch.go
+++ b/internal/control/watch.go
@@ -14,38 +14,38 @@
 )
 
 const (
-	// probeAfter is the time without a byte, while a call waits for its reply,
-	// after which a connection is probed.
-	probeAfter = 500 * time.Millisecond
-	// probeTimeout is the time after a probe without a byte after which the
-	// connection is closed.
+	// probeDelay is the time without a received byte, while a call waits for its
+	// reply, after which a connection is probed.
+	probeDelay = 500 * time.Millisecond
+	// probeTimeout is the time without a received byte after a probe, after which
+	// the connection is closed.
 	probeTimeout = 400 * time.Millisecond
 )
 
-// watchedConn is a client's connection that closes itself once it has gone
-// silent.
+// watchedConn is a client connection that closes itself when the peer no longer
+// sends anything on it.
 //
-// Something between two nodes may forget a connection that was open: then
-// nothing sent on it arrives and nothing tells so, while new connections work.
-// Every call would time out, for good. So the connection notes since when a
-// call has waited without any byte from the peer. After probeAfter it has a
-// probe sent, which the peer answers at once even where the call itself is
-// slow; without a byte in probeTimeout it closes, and the next call opens a
-// new connection.
+// A device between two nodes may drop the state of an open connection. Packets
+// sent on the connection are then lost without an error, although new connections
+// work, and all calls on it would time out permanently. The connection therefore
+// records since when a call has waited without a byte from the peer. After
+// probeDelay it sends a probe, to which the peer replies immediately even if the
+// call itself is slow. If no byte arrives within probeTimeout, it closes, and the
+// next call opens a new connection.
 //
-// The time runs from call to call: calls that are given up sooner than the
-// connection is found silent must not begin it anew. Pings of HTTP/2 would do
-// the same, but they go out on idle connections too, twice a second for each
-// peer that was called lately, which costs more than the calls.
+// The wait spans several calls: a call that is cancelled before the connection is
+// found dead must not restart it. HTTP/2 pings would detect the same, but they are
+// also sent on idle connections, twice a second for each recently called peer,
+// which costs more than the calls themselves.
 type watchedConn struct {
 	countingConn
 	probe func()
 
-	waitingSince atomic.Int64 // Unix nanoseconds of the first call since the last byte; 0: none
+	waitingSince atomic.Int64 // Unix nanoseconds of the first call since the last received byte; 0 if none waits
 
-	mu     sync.Mutex
-	armed  bool // a check is due
-	probed bool // the next check closes
+	mu             sync.Mutex
+	checkScheduled bool // a call of check is scheduled
+	probed         bool // a probe was sent; the next check closes the connection
 }
 
 // Read implements net.Conn.
@@ -57,32 +57,32 @@
 	return n, err
 }
 
-// expectReply notes that a call is sent.
+// expectReply records that a call is sent and schedules a check.
 func (c *watchedConn) expectReply() {
 	c.waitingSince.CompareAndSwap(0, time.Now().UnixNano())
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.armed {
-		c.armed = true
-		time.AfterFunc(probeAfter, c.check)
+	if !c.checkScheduled {
+		c.checkScheduled = true
+		time.AfterFunc(probeDelay, c.check)
 	}
 }
 
-// check probes the connection when a call has waited for probeAfter, and closes
-// it when the probe is not answered either.
+// check probes the connection if a call has waited for probeDelay, and closes it
+// if the probe gets no reply either.
 func (c *watchedConn) check() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	since := c.waitingSince.Load()
 	if since == 0 {
-		c.armed, c.probed = false, false
+		c.checkScheduled, c.probed = false, false
 		return
 	}
 	waited := time.Since(time.Unix(0, since))
 	switch {
-	case waited < probeAfter:
+	case waited < probeDelay:
 		c.probed = false
-		time.AfterFunc(probeAfter-waited, c.check)
+		time.AfterFunc(probeDelay-waited, c.check)
 	case !c.probed:
 		c.probed = true
 		go c.probe()
@@ -100,8 +100,8 @@
 	}
 }
 
-// probe makes a call that the peer answers whatever its state. Its outcome does
-// not matter, only that the connection carries bytes.
+// probe sends a health check, to which the peer replies in any state. Its result
+// doesn't matter, only that bytes arrive on the connection.
 func probe(transport *http.Transport, peer fleet.Address) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
@@ -117,8 +117,9 @@
 	_ = response.Body.Close()
 }
 
-// watchCalls is a context whose calls are noted at their connection.
-func watchCalls(ctx context.Context) context.Context {
+// withReplyTracking returns a context whose calls are recorded at their connection
+// by expectReply.
+func withReplyTracking(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
 			if conn, ok := info.Conn.(*watchedConn); ok {
