--- a/internal/tick/loop.go
+++ b/internal/tick/loop.go
@@ -1,6 +1,7 @@
-// Package tick runs a role's decisions: a world of tables, and systems that
-// run over the tables in a fixed order at each tick. A world does no I/O and
-// reads no clock, so that a test can drop, delay, double or reorder any input.
+// Package tick implements an event loop around a deterministic state machine. A
+// World holds its state in tables, and at each tick its systems process the tables
+// in a fixed order. A World does no I/O and reads no clock, so that a test can
+// drop, delay, duplicate or reorder any input.
 package tick
 
 import (
@@ -8,21 +9,21 @@
 	"time"
 )
 
-// MaxBatch is the largest number of inputs that one tick takes in. It bounds
-// the time between two ticks while inputs arrive faster than they are handled.
+// MaxBatch is the maximum number of inputs per tick. It bounds the time between two
+// ticks while inputs arrive faster than they are processed.
 const MaxBatch = 256
 
-// World is the state of a role and the rules that change it. I is the type of
-// its inputs (events), O the type of its outputs (commands).
+// World is a state machine: the state of a role and the rules that change it. I is
+// the type of its inputs (events), O the type of its outputs (commands).
 type World[I, O any] interface {
-	// Step takes in the inputs in their order, runs every system once and
-	// returns the commands. The world is stepped again when an input comes
-	// or at next, whichever is first; a zero next waits for an input.
+	// Step applies the inputs in order, runs every system once and returns the
+	// commands. It is called again when an input arrives or at next, whichever
+	// comes first. If next is zero, it is called again only for an input.
 	Step(now time.Time, inputs []I) (outputs []O, next time.Time)
 }
 
-// Loop steps one world in a single goroutine. An input wakes it at once, so a
-// tick adds no latency.
+// Loop runs a World in a single goroutine. An input starts a tick immediately, so
+// the loop adds no latency.
 type Loop[I, O any] struct {
 	world   World[I, O]
 	execute func(O)
@@ -31,9 +32,9 @@
 	now     func() time.Time
 }
 
-// NewLoop returns a loop for the world. It calls execute for each command from
-// the loop's goroutine; execute must not block. queue is the number of inputs
-// held before Send blocks.
+// NewLoop returns a Loop for the world. The loop's goroutine calls execute for each
+// command; execute must not block. queue is the number of inputs that are buffered
+// before Send blocks.
 func NewLoop[I, O any](world World[I, O], queue int, execute func(O)) *Loop[I, O] {
 	return &Loop[I, O]{
 		world:   world,
@@ -44,8 +45,8 @@
 	}
 }
 
-// Send hands an input to the world. It blocks while the queue is full and
-// reports false once the loop has ended.
+// Send queues an input for the world. It blocks while the queue is full and
+// returns false once the loop has ended.
 func (l *Loop[I, O]) Send(input I) bool {
 	select {
 	case <-l.done:
@@ -60,7 +61,7 @@
 	}
 }
 
-// Done is closed when the loop has ended.
+// Done returns a channel that is closed when the loop has ended.
 func (l *Loop[I, O]) Done() <-chan struct{} { return l.done }
 
 // Run steps the world until the context ends.
@@ -75,7 +76,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case input := <-l.inputs:
-			batch = l.drain(append(batch, input))
+			batch = l.takeQueued(append(batch, input))
 		case <-timer.C:
 		}
 		now := l.now()
@@ -90,8 +91,8 @@
 	}
 }
 
-// drain adds the inputs that already wait, up to MaxBatch.
-func (l *Loop[I, O]) drain(batch []I) []I {
+// takeQueued appends the queued inputs to the batch, up to MaxBatch.
+func (l *Loop[I, O]) takeQueued(batch []I) []I {
 	for len(batch) < MaxBatch {
 		select {
 		case input := <-l.inputs:
@@ -103,14 +104,14 @@
 	return batch
 }
 
-// System is one rule that runs over a world's tables at each tick.
+// System is one rule that is applied to a world's tables at each tick.
 type System[W any] struct {
 	Name string
 	Run  func(world W, now time.Time)
 }
 
-// Table holds the entities of one kind by their key. The zero value is not
-// usable; NewTable makes one.
+// Table maps keys to the entities of one kind. Use NewTable; the zero value isn't
+// usable.
 type Table[K comparable, V any] struct {
 	rows map[K]*V
 }
@@ -120,13 +121,13 @@
 	return &Table[K, V]{rows: make(map[K]*V)}
 }
 
-// Get returns the row of a key, or nil.
+// Get returns the row of a key, or nil if there is none.
 func (t *Table[K, V]) Get(key K) *V { return t.rows[key] }
 
-// Put stores a row, in place of one with the same key.
+// Put stores a row and replaces an existing one with the same key.
 func (t *Table[K, V]) Put(key K, row *V) { t.rows[key] = row }
 
-// GetOrCreate returns the row of a key and makes it with create when there is none.
+// GetOrCreate returns the row of a key, and creates and stores it if there is none.
 func (t *Table[K, V]) GetOrCreate(key K, create func() *V) *V {
 	row, ok := t.rows[key]
 	if !ok {
@@ -139,11 +140,11 @@
 // Delete removes the row of a key.
 func (t *Table[K, V]) Delete(key K) { delete(t.rows, key) }
 
-// Len is the number of rows.
+// Len returns the number of rows.
 func (t *Table[K, V]) Len() int { return len(t.rows) }
 
 // Each calls visit for every row, in no particular order. visit may delete the
-// row that it is given.
+// row that it is called with.
 func (t *Table[K, V]) Each(visit func(key K, row *V)) {
 	for key, row := range t.rows {
 		visit(key, row)
