--- a/internal/fleet/address.go
+++ b/internal/fleet/address.go
@@ -6,10 +6,9 @@
 	"github.com/pkg/errors"
 )
 
-// ParseAddress checks that text is an IP number with a port that another node
-// can reach, and returns it in its canonical form. Nodes find each other by
-// address alone, so host names, port 0 and the unspecified IP number are
-// refused.
+// ParseAddress parses an IP address with a port that another node can reach and
+// returns it in canonical form. Nodes find each other by address alone, so host
+// names, port 0 and the unspecified IP address are rejected.
 func ParseAddress(text string) (Address, error) {
 	parsed, err := netip.ParseAddrPort(text)
 	if err != nil {
--- a/internal/fleet/error.go
+++ b/internal/fleet/error.go
@@ -6,8 +6,8 @@
 	"github.com/pkg/errors"
 )
 
-// Step names the step of a request or of a settings change at which an error
-// arose. The steps are the columns of the fault matrix in docs/PROOF.md.
+// Step is the step of a request or of a settings change at which an error occurred.
+// The steps are the columns of the fault matrix in docs/PROOF.md.
 type Step string
 
 // The steps of a request.
@@ -33,10 +33,10 @@
 	StepRestart Step = "restart"
 )
 
-// StepError is an error that tells its step and the peer concerned.
+// StepError is an error with the step at which it occurred and the peer involved.
 type StepError struct {
 	Step  Step
-	Peer  Address // empty when no peer was involved
+	Peer  Address // empty if no peer was involved
 	cause error
 }
 
@@ -51,12 +51,12 @@
 // Unwrap returns the cause.
 func (e *StepError) Unwrap() error { return e.cause }
 
-// Errorf returns a StepError with a new cause and its stack.
+// Errorf returns a StepError with a new cause that has a stack trace.
 func Errorf(step Step, peer Address, format string, args ...any) error {
 	return &StepError{Step: step, Peer: peer, cause: errors.Errorf(format, args...)}
 }
 
-// Wrap returns err as a StepError, or nil when err is nil.
+// Wrap wraps err in a StepError. It returns nil if err is nil.
 func Wrap(err error, step Step, peer Address) error {
 	if err == nil {
 		return nil
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,12 +1,13 @@
-// Package fleet holds the words that all roles share: who is who in the fleet,
-// how a request ended, and errors that tell where they arose.
+// Package fleet defines the types that all roles share: the identities of nodes,
+// accounts, services and requests, the outcomes of requests, and errors with the
+// step at which they occurred.
 package fleet
 
 import (
 	"github.com/google/uuid"
 )
 
-// Role is the job of a process of the system.
+// Role is the role of a process in the system.
 type Role string
 
 // The two roles that are members of the fleet.
@@ -15,38 +16,38 @@
 	RoleAgent  Role = "agent"
 )
 
-// Address is an IP number with a port. The control address of a node is also
-// its identity in the fleet.
+// Address is an IP address with a port. A node's control address is also its
+// identity in the fleet.
 type Address string
 
-// Account names a client account by its path in the settings tree.
+// Account is the path of a client account in the settings tree.
 type Account string
 
-// Service names a model or a plain service that backend servers provide.
+// Service is the name of a model or of a plain service that backend servers provide.
 type Service string
 
-// Zone names an availability zone.
+// Zone is the name of an availability zone.
 type Zone string
 
-// RequestID identifies one request over all its attempts. It is a UUIDv7, so
-// it also tells when the request was made.
+// RequestID identifies one request across all its attempts. It is a UUIDv7, so it
+// includes the time at which the request was made.
 type RequestID = uuid.UUID
 
-// VMState tells whether a VM may be given new work.
+// VMState is the state of a VM: only a live VM is given new work.
 type VMState string
 
-// The states that the platform's list of VMs gives.
+// The states in the platform's list of VMs.
 const (
 	VMLive    VMState = "live"
 	VMLeaving VMState = "leaving"
 )
 
-// Node is one process of the system as the others know it.
+// Node describes one process of the system to the others.
 type Node struct {
 	VM      string  // name of the VM in the platform's list
 	Role    Role    // router or agent
-	Control Address // twirp services, metrics and health
-	Data    Address // callers' interface of a router, data path of an agent
+	Control Address // address of the twirp services, metrics and health checks
+	Data    Address // address of a router for callers, or of an agent's data path
 	Zone    Zone
 	Region  string
 	Service Service // agents only
@@ -55,15 +56,15 @@
 	Incarnation uint64
 }
 
-// Outcome is what a caller may rely on about its request.
+// Outcome tells a caller whether its request was run.
 type Outcome string
 
 // The outcomes in the header Bluebell-Outcome.
 const (
-	// OutcomeCompleted means that the whole answer was handed out.
+	// OutcomeCompleted means that the complete response was sent.
 	OutcomeCompleted Outcome = "completed"
-	// OutcomeNotRun means that the request did not run and will not run.
+	// OutcomeNotRun means that the request has not been run and will not be run.
 	OutcomeNotRun Outcome = "not-run"
-	// OutcomeUnknown means that the request may have run.
+	// OutcomeUnknown means that the request may have been run.
 	OutcomeUnknown Outcome = "unknown"
 )
--- a/internal/fleet/header.go
+++ b/internal/fleet/header.go
@@ -5,10 +5,9 @@
 	"strings"
 )
 
-// IsHopByHop tells whether an HTTP header concerns one connection only, so that
-// neither router nor agent may pass it on. The two headers that every client
-// library writes by itself, Content-Length and Host, count as such. Upper and
-// lower case are the same.
+// IsHopByHop reports whether an HTTP header applies to a single connection, so that
+// neither router nor agent may forward it. Content-Length and Host are included,
+// since every client library sets them itself. The name is case-insensitive.
 func IsHopByHop(name string) bool {
 	switch strings.ToLower(name) {
 	case "connection", "keep-alive", "proxy-authenticate", "proxy-authorization", "te", "trailer",
@@ -18,14 +17,14 @@
 	return false
 }
 
-// EndToEndHeaders returns the headers that are passed on. Their values are shared with
-// the given ones.
+// EndToEndHeaders returns the headers that may be forwarded. The result shares its
+// values with header.
 func EndToEndHeaders(header http.Header) http.Header {
-	passed := make(http.Header, len(header))
+	forwarded := make(http.Header, len(header))
 	for name, values := range header {
 		if !IsHopByHop(name) {
-			passed[name] = values
+			forwarded[name] = values
 		}
 	}
-	return passed
+	return forwarded
 }
