--- a/internal/gate/acceptor.go
+++ b/internal/gate/acceptor.go
@@ -17,8 +17,8 @@
 	"github.com/bluebellchute/bluebellchute/internal/knowledge"
 )
 
-// defaultLimits apply until the first configuration has been received. They are generous in
-// what callers may send and how long they may stay idle, as nothing is served yet.
+// defaultLimits apply until the first configuration has been received. They may be more
+// permissive than the configured ones, as no request is forwarded before that.
 var defaultLimits = knowledge.Limits{
 	HeaderBytes:   64 << 10,
 	HeaderTimeout: 3 * time.Second,
@@ -37,8 +37,9 @@
 	recordShedding()
 	// recovered reports whether requests get the processor without delay again.
 	recovered() bool
-	// recordRecovery records for how long connections were refused.
-	recordRecovery(turnedAway time.Duration)
+	// recordRecovery records that connections are accepted again, and for how long they
+	// were refused.
+	recordRecovery(refusedFor time.Duration)
 }
 
 // acceptor accepts callers' connections. Each connection keeps the limits that were in
@@ -105,11 +106,11 @@
 // run accepts connections at the address until the context ends or draining closes the
 // listener.
 //
-// While requests in progress are stalled, it closes the listener. Refusing a request on an
-// accepted connection costs a small VM so much that, with more callers than it can refuse,
-// nothing makes progress for as long as they come. A connection reset by the kernel costs
-// nothing, and its caller tries another router immediately; a caller whose connection waits
-// to be accepted gives up only after a second.
+// While requests in progress are stalled, it closes the listener. To refuse a request, the
+// router must accept its connection and read it; with too many callers, a small VM does
+// nothing else, and no request in progress is completed. With the listener closed, the
+// kernel resets new connections at no cost, and their callers try another router
+// immediately. A caller whose connection waits to be accepted gives up only after a second.
 func (a *acceptor) run(ctx context.Context, address fleet.Address) error {
 	for ctx.Err() == nil && !a.drain.listenerClosed.Load() {
 		listener, err := a.listen(ctx, address)
@@ -126,6 +127,7 @@
 	return nil
 }
 
+// listen opens the listener and stores it for stopAccepting.
 func (a *acceptor) listen(ctx context.Context, address fleet.Address) (net.Listener, error) {
 	config := net.ListenConfig{KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: callerKeepAlive, Interval: callerKeepAlive, Count: 2}}
 	listener, err := config.Listen(ctx, "tcp", string(address))
@@ -189,7 +191,7 @@
 // closing their connections.
 const callerKeepAlive = 5 * time.Second
 
-// keepAliveShare is the share of the maximum number of connections above which each
+// keepAliveShare is the fraction of the maximum number of connections above which each
 // connection is closed after its next answer.
 const keepAliveShare = 0.4
 
@@ -201,10 +203,11 @@
 // leave it open. Once no more can be accepted, requests wait a second for their connection
 // and are read after their callers have disconnected.
 func (a *acceptor) nearConnectionLimit() bool {
-	places := a.callers.slots
-	return float64(len(places)) > float64(cap(places))*keepAliveShare
+	slots := a.callers.slots
+	return float64(len(slots)) > float64(cap(slots))*keepAliveShare
 }
 
+// stopAccepting closes the listener permanently. Connections that are already open stay.
 func (a *acceptor) stopAccepting() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -233,7 +236,7 @@
 func (a *acceptor) finish(ctx context.Context) int {
 	remaining := a.awaitIdle(ctx)
 	a.drain.end()
-	a.awaitClosed()
+	a.closeConnections()
 	for _, server := range a.httpServers() {
 		_ = server.Close() // only connections of stalled callers are left
 	}
@@ -267,9 +270,9 @@
 	return 0
 }
 
-// awaitClosed closes each connection once no request is being read or served on it. It
+// closeConnections closes each connection once no request is being read or served on it. It
 // returns when all are closed, or after finalAnswerTimeout.
-func (a *acceptor) awaitClosed() {
+func (a *acceptor) closeConnections() {
 	for deadline := boottime.Now().Add(finalAnswerTimeout); boottime.Now() < deadline; time.Sleep(drainPollInterval) {
 		if a.callers.closeWaiting() == 0 {
 			return
@@ -278,7 +281,8 @@
 }
 
 // connStateChanged is the servers' ConnState hook. A connection that becomes idle after the
-// listener was closed is closed too: its last answer may not have announced that.
+// listener was closed is closed too: its last answer may have been sent before, without a
+// Connection: close header.
 func (a *acceptor) connStateChanged(conn net.Conn, state http.ConnState) {
 	if caller, ok := conn.(*callerConn); ok {
 		caller.setState(state)
--- a/internal/gate/admission.go
+++ b/internal/gate/admission.go
@@ -49,9 +49,9 @@
 	paces       *paces
 	plain       *plainServers
 
-	mu     sync.Mutex
-	ledger *shares.Ledger
-	turn   int
+	mu           sync.Mutex
+	ledger       *shares.Ledger
+	serverOffset int
 }
 
 func newAdmission(settings *currentSettings, zone fleet.Zone, peers Peers) *admission {
@@ -153,6 +153,8 @@
 
 func (a *admission) policy() *policy.Settings { return &a.settings.get().Admission }
 
+// placePlain sends a request to a plain service without admission control: it chooses a
+// server and adds the request to its load.
 func (a *admission) placePlain(usable []*knowledge.Backend) *placement {
 	servers := make([]selection.Server, len(usable))
 	for i, backend := range usable {
@@ -165,10 +167,10 @@
 		}
 	}
 	a.mu.Lock()
-	a.turn++
-	turn := a.turn
+	a.serverOffset++
+	offset := a.serverOffset
 	a.mu.Unlock()
-	placed := &placement{backend: usable[selection.ChooseServer(servers, turn)], load: BackendLoad{Running: 1}}
+	placed := &placement{backend: usable[selection.ChooseServer(servers, offset)], load: BackendLoad{Running: 1}}
 	a.loads.begin(placed.backend.Incarnation, placed.load)
 	return placed
 }
@@ -229,8 +231,8 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	fields["shortage"] = a.ledger.Shortage()
-	if level := a.ledger.MaxMinShare(); !math.IsInf(level, 1) {
-		fields["share_level"] = level // "level" is the log level
+	if share := a.ledger.MaxMinShare(); !math.IsInf(share, 1) {
+		fields["share_level"] = share // "level" is the log level
 	}
 	return fields
 }
--- a/internal/gate/budget.go
+++ b/internal/gate/budget.go
@@ -44,6 +44,7 @@
 	return b.settings.get().Budget.Extra * usedBudgetShare / float64(max(b.peers.Routers(), 1))
 }
 
+// bucket returns the service's bucket, refilled up to now.
 func (b *retryBudget) bucket(service fleet.Service) *bucket {
 	entry := b.services[service]
 	now := boottime.Now()
--- a/internal/gate/callerconn.go
+++ b/internal/gate/callerconn.go
@@ -39,6 +39,7 @@
 	return added
 }
 
+// remove removes a closed connection and frees its slot. It may be called repeatedly.
 func (c *callerConns) remove(conn *callerConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/gate/candidates.go
+++ b/internal/gate/candidates.go
@@ -9,7 +9,8 @@
 )
 
 // candidates returns the backend servers of the service that may take a request. Ejected
-// and absent ones are returned only if there is no other; unavailable ones never are.
+// ones and those missing from the list are returned only if there is no other; unavailable
+// ones never are.
 func (a *admission) candidates(view *knowledge.View, service fleet.Service, excluded map[string]bool, now boottime.Instant) []*knowledge.Backend {
 	serving := view.Serving[service]
 	ejected := a.loads.ejectedAt(now)
@@ -23,7 +24,7 @@
 		if excluded[backend.ID] || unavailable[backend.Incarnation] != 0 {
 			continue
 		}
-		if _, absent := view.MissingSince[backend.ID]; absent || ejected[backend.Incarnation] {
+		if _, missing := view.MissingSince[backend.ID]; missing || ejected[backend.Incarnation] {
 			fallback = append(fallback, backend)
 			continue
 		}
@@ -36,9 +37,9 @@
 }
 
 // refuseAll refuses a request for which no backend server is usable, given the number of
-// candidates. While all are unavailable, callers that came back before the first one
+// candidates. While all are unavailable, callers that retried before the first one
 // accepts requests again would be refused again. The route's usual delay is added to the
-// time until then, so that callers do not all come back at that time.
+// time until then, so that callers do not all retry at that time.
 func (a *admission) refuseAll(request *Request, view *knowledge.View, candidates int, now boottime.Instant) *Refusal {
 	refusal := a.refuse(request, noBackendReason(view, request.Service, candidates))
 	if refusal.Reason != ReasonNoBackend {
--- a/internal/gate/crash_detector.go
+++ b/internal/gate/crash_detector.go
@@ -84,33 +84,33 @@
 // addReset records that a connection was reset while a request sent at the given time was
 // running. Copies of a request whose connections are reset together count once. It does
 // nothing when too many resets are pending.
-func (w *crashDetector) addReset(incarnation string, fingerprint uint64, sentAt, now boottime.Instant) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.pendingCount.Load() >= maxPendingResets {
+func (d *crashDetector) addReset(incarnation string, fingerprint uint64, sentAt, now boottime.Instant) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.pendingCount.Load() >= maxPendingResets {
 		return
 	}
-	for _, pending := range w.byServer[incarnation] {
+	for _, pending := range d.byServer[incarnation] {
 		if pending.fingerprint == fingerprint && sentAt <= pending.noticedAt {
 			return
 		}
 	}
-	w.byServer[incarnation] = append(w.byServer[incarnation], pendingReset{fingerprint: fingerprint, noticedAt: now})
-	w.byRequest[fingerprint]++
-	w.pendingCount.Add(1)
+	d.byServer[incarnation] = append(d.byServer[incarnation], pendingReset{fingerprint: fingerprint, noticedAt: now})
+	d.byRequest[fingerprint]++
+	d.pendingCount.Add(1)
 }
 
 // dataReceived records that data from the server was read at now, on the connection of a
 // request sent at the given time. It returns the resets that were not crashes. Most calls
 // find no pending resets and take no lock.
-func (w *crashDetector) dataReceived(incarnation string, sentAt, now boottime.Instant) judgedResets {
-	if w.pendingCount.Load() == 0 {
+func (d *crashDetector) dataReceived(incarnation string, sentAt, now boottime.Instant) judgedResets {
+	if d.pendingCount.Load() == 0 {
 		return judgedResets{}
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	suspended := now.Sub(w.lastJudged) > maxJudgeGap // the data may have arrived before a suspension of the router
-	return w.resolve(incarnation, resetServerWentOn, func(r *pendingReset) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	suspended := now.Sub(d.lastJudged) > maxJudgeGap // the data may have arrived before a suspension of the router
+	return d.resolve(incarnation, resetServerWentOn, func(r *pendingReset) bool {
 		if sentAt > r.noticedAt {
 			// After a refused connection the answer comes from a restarted server.
 			return !r.refused
@@ -121,10 +121,10 @@
 
 // connectionRefused records that the server refused a connection for a request placed at
 // the given time: nothing is listening there.
-func (w *crashDetector) connectionRefused(incarnation string, placedAt boottime.Instant) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	resets := w.byServer[incarnation]
+func (d *crashDetector) connectionRefused(incarnation string, placedAt boottime.Instant) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	resets := d.byServer[incarnation]
 	for i := range resets {
 		if placedAt > resets[i].noticedAt {
 			resets[i].refused = true
@@ -133,17 +133,17 @@
 }
 
 // due reports whether judge is to be called.
-func (w *crashDetector) due(now boottime.Instant) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return now.Sub(w.lastJudged) >= judgeInterval/2
+func (d *crashDetector) due(now boottime.Instant) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return now.Sub(d.lastJudged) >= judgeInterval/2
 }
 
 // incarnations returns those with pending resets.
-func (w *crashDetector) incarnations() []string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return lo.Keys(w.byServer)
+func (d *crashDetector) incarnations() []string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return lo.Keys(d.byServer)
 }
 
 // serverReport is what is known of an incarnation apart from its answers.
@@ -157,19 +157,19 @@
 
 // judge returns the resets that get their verdict now. Time counts as watched only while it
 // is called at least once per maxJudgeGap.
-func (w *crashDetector) judge(now boottime.Instant, report func(incarnation string) serverReport) []judgedResets {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	step := now.Sub(w.lastJudged)
-	w.lastJudged = now
+func (d *crashDetector) judge(now boottime.Instant, report func(incarnation string) serverReport) []judgedResets {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	step := now.Sub(d.lastJudged)
+	d.lastJudged = now
 	var judged []judgedResets
-	for incarnation, resets := range w.byServer {
+	for incarnation, resets := range d.byServer {
 		reported := report(incarnation)
 		for i := range resets {
 			resets[i].advance(step, now, reported == reportRunning)
 		}
 		for _, verdict := range []resetVerdict{resetServerDown, resetServerWentOn} {
-			reset := w.resolve(incarnation, verdict, func(r *pendingReset) bool { return r.verdict(reported) == verdict })
+			reset := d.resolve(incarnation, verdict, func(r *pendingReset) bool { return r.verdict(reported) == verdict })
 			if len(reset.fingerprints) > 0 {
 				judged = append(judged, reset)
 			}
@@ -222,9 +222,9 @@
 }
 
 // resolve removes the resets at a server to which the verdict applies and returns them.
-func (w *crashDetector) resolve(incarnation string, verdict resetVerdict, applies func(r *pendingReset) bool) judgedResets {
+func (d *crashDetector) resolve(incarnation string, verdict resetVerdict, applies func(r *pendingReset) bool) judgedResets {
 	judged := judgedResets{incarnation: incarnation, verdict: verdict}
-	resets := w.byServer[incarnation]
+	resets := d.byServer[incarnation]
 	if len(resets) == 0 {
 		return judged
 	}
@@ -232,33 +232,33 @@
 	for _, r := range resets {
 		if applies(&r) {
 			judged.fingerprints = append(judged.fingerprints, r.fingerprint)
-			w.forget(r.fingerprint)
+			d.forget(r.fingerprint)
 			continue
 		}
 		kept = append(kept, r)
 	}
-	w.byServer[incarnation] = kept
+	d.byServer[incarnation] = kept
 	if len(kept) == 0 {
-		delete(w.byServer, incarnation)
+		delete(d.byServer, incarnation)
 	}
-	w.pendingCount.Add(-int64(len(judged.fingerprints)))
+	d.pendingCount.Add(-int64(len(judged.fingerprints)))
 	return judged
 }
 
 // forget removes one pending reset of the request from the count.
-func (w *crashDetector) forget(fingerprint uint64) {
-	w.byRequest[fingerprint]--
-	if w.byRequest[fingerprint] == 0 {
-		delete(w.byRequest, fingerprint)
+func (d *crashDetector) forget(fingerprint uint64) {
+	d.byRequest[fingerprint]--
+	if d.byRequest[fingerprint] == 0 {
+		delete(d.byRequest, fingerprint)
 	}
 }
 
 // pendingFor returns how many resets of the request have no verdict yet.
-func (w *crashDetector) pendingFor(fingerprint uint64) int {
-	if w.pendingCount.Load() == 0 {
+func (d *crashDetector) pendingFor(fingerprint uint64) int {
+	if d.pendingCount.Load() == 0 {
 		return 0
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.byRequest[fingerprint]
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.byRequest[fingerprint]
 }
--- a/internal/gate/crash_verdicts.go
+++ b/internal/gate/crash_verdicts.go
@@ -60,6 +60,7 @@
 	return reports
 }
 
+// serverReport returns what is known of a listed backend server.
 func (h *handler) serverReport(backend *knowledge.Backend) serverReport {
 	own, _ := h.admission.loads.get(backend.Incarnation)
 	if own.Running+h.admission.peers.Load(backend.IncarnationHash).Running > 0 {
--- a/internal/gate/fetchsource.go
+++ b/internal/gate/fetchsource.go
@@ -16,8 +16,9 @@
 	// read any of the segments that prefer it yet. It is some times the usual pause between
 	// two requests for a segment.
 	recentStartPeriod = 10 * time.Second
-	// maxFetchCandidates is how many engines in the segment's order are considered as a
-	// fetch source. The first ones may be the chosen one, or recently started.
+	// maxFetchCandidates is how many of the engines that rank first for the segment are
+	// considered as a fetch source. The first ones may be the chosen one, or recently
+	// started.
 	maxFetchCandidates = 4
 	// fetchShare is the fraction of the bound for evacuations within which segments are
 	// still fetched from an evacuated zone. A fetch puts some load on its engines, which
@@ -65,7 +66,7 @@
 
 // previousEngine returns the engine that probably read the shared segments before the
 // chosen one, nil if that is probably the chosen one itself. It is the first in the
-// segment's order that has not started recently. Engines that get no requests because they
+// segment's ranking that has not started recently. Engines that get no requests because they
 // drain or are evacuated still cache what they have read.
 func (a *admission) previousEngine(search *modelSearch, chosen *knowledge.Backend, now boottime.Instant) *knowledge.Backend {
 	engines := search.view.ByService[search.request.Service]
--- a/internal/gate/handler.go
+++ b/internal/gate/handler.go
@@ -36,7 +36,7 @@
 // EngineSettings control how differences between backend servers are taken into account.
 type EngineSettings struct {
 	Pace         bool // consider the pace of each backend server
-	OwnZoneFirst bool // see near
+	OwnZoneFirst bool // see ownZoneEngines
 }
 
 // currentSettings are the settings in force. They change when the settings
@@ -116,8 +116,8 @@
 	// share.
 	h.admission.recordRequest(request)
 	h.requestLog.counts.addRequested(request)
-	owed := func() bool { return h.admission.withinShare(request, view) }
-	if !h.lag.accepts(received, owed, rand.Float64()) {
+	withinShare := func() bool { return h.admission.withinShare(request, view) }
+	if !h.lag.accepts(received, withinShare, rand.Float64()) {
 		// Accepting more would stall the requests in progress.
 		retry := h.admission.retryAfter(request)
 		h.refuse(w, request, Refusal{Status: http.StatusServiceUnavailable, Reason: ReasonOverloaded, RetryAfter: retry})
--- a/internal/gate/lag.go
+++ b/internal/gate/lag.go
@@ -32,15 +32,15 @@
 	// recoveredLag is the average lag below which the router accepts more again.
 	recoveredLag = 10 * time.Millisecond
 	// The share of requests that are accepted is multiplied by shareDecrease after each
-	// measurement above overloadLag, but not below minShare, and raised by shareIncrease
-	// after each measurement below recoveredLag. A refusal costs a good part of what an
-	// answer costs, so a lower minShare would gain little.
-	shareDecrease = 0.8
-	minShare      = 0.3
-	shareIncrease = 0.01
-	// owedShare is the share of accepted requests down to which only requests beyond their
-	// accounts' shares are refused.
-	owedShare = 0.5
+	// measurement above overloadLag, but not below minAcceptedShare, and raised by
+	// shareIncrease after each measurement below recoveredLag. A refusal costs a good part
+	// of what an answer costs, so a lower minAcceptedShare would gain little.
+	shareDecrease    = 0.8
+	minAcceptedShare = 0.3
+	shareIncrease    = 0.01
+	// withinShareLimit is the accepted share of requests down to which only requests beyond
+	// their accounts' shares are refused.
+	withinShareLimit = 0.5
 	// recoveryDelay is the minimum time after the last overload until the router stops
 	// counting as overloaded. The load balancer needs two seconds to notice a change.
 	recoveryDelay = 3 * time.Second
@@ -63,12 +63,12 @@
 	logger          logrus.FieldLogger
 	sheddingSeconds prometheus.Counter // time in which connections were refused
 
-	overloaded   atomic.Bool
-	shareBits    atomic.Uint64    // share of requests that are accepted, as bits of a float64
-	yieldedAt    atomic.Int64     // boottime.Instant of the yield in progress, 0 for none
-	averageLag   atomic.Int64     // nanoseconds
-	lastShed     atomic.Int64     // boottime.Instant when connections were last refused
-	lastOverload boottime.Instant // when an overload was last seen
+	overloaded        atomic.Bool
+	acceptedShareBits atomic.Uint64    // share of requests that are accepted, as bits of a float64
+	yieldedAt         atomic.Int64     // boottime.Instant of the yield in progress, 0 for none
+	averageLag        atomic.Int64     // nanoseconds
+	lastShed          atomic.Int64     // boottime.Instant when connections were last refused
+	lastOverload      boottime.Instant // when an overload was last seen
 }
 
 func newLagMeter(logger logrus.FieldLogger, registerer prometheus.Registerer) *lagMeter {
@@ -80,13 +80,15 @@
 		}),
 	}
 	registerer.MustRegister(m.sheddingSeconds)
-	m.setShare(1)
+	m.setAcceptedShare(1)
 	return m
 }
 
-func (m *lagMeter) share() float64 { return math.Float64frombits(m.shareBits.Load()) }
+func (m *lagMeter) acceptedShare() float64 { return math.Float64frombits(m.acceptedShareBits.Load()) }
 
-func (m *lagMeter) setShare(share float64) { m.shareBits.Store(math.Float64bits(share)) }
+func (m *lagMeter) setAcceptedShare(share float64) {
+	m.acceptedShareBits.Store(math.Float64bits(share))
+}
 
 // run measures until the context ends.
 func (m *lagMeter) run(ctx context.Context) error {
@@ -114,9 +116,9 @@
 	case average > overloadLag:
 		m.lastOverload = now
 		m.overloaded.Store(true)
-		m.setShare(max(m.share()*shareDecrease, minShare))
+		m.setAcceptedShare(max(m.acceptedShare()*shareDecrease, minAcceptedShare))
 	case average < recoveredLag:
-		m.setShare(min(m.share()+shareIncrease, 1))
+		m.setAcceptedShare(min(m.acceptedShare()+shareIncrease, 1))
 		if now.Sub(m.lastOverload) > recoveryDelay {
 			m.overloaded.Store(false)
 		}
@@ -137,20 +139,21 @@
 
 // accepts reports whether a request is accepted; drawn is uniform in [0, 1). Requests
 // beyond their accounts' shares are refused first, and those within them only once no
-// others are accepted: a flood from one account must not cost others their shares. owed is
-// only called while some requests are refused.
-func (m *lagMeter) accepts(now boottime.Instant, owed func() bool, drawn float64) bool {
+// others are accepted: a flood from one account must not cost others their shares.
+// withinShare reports whether the request is within its account's share; it is only called
+// while some requests are refused.
+func (m *lagMeter) accepts(now boottime.Instant, withinShare func() bool, drawn float64) bool {
 	if m.stalledAt(now) {
 		return false
 	}
-	share := m.share()
+	accepted := m.acceptedShare()
 	switch {
-	case share >= 1:
+	case accepted >= 1:
 		return true
-	case owed():
-		return drawn < share/owedShare
+	case withinShare():
+		return drawn < accepted/withinShareLimit
 	}
-	return drawn < (share-owedShare)/(1-owedShare)
+	return drawn < (accepted-withinShareLimit)/(1-withinShareLimit)
 }
 
 // recordShedding records that connections are refused because of the lag, so that the load
@@ -159,9 +162,9 @@
 
 // recordRecovery records that connections are accepted again, and for how long they were
 // not.
-func (m *lagMeter) recordRecovery(turnedAway time.Duration) {
-	m.sheddingSeconds.Add(turnedAway.Seconds())
-	event.GateLoadShed.Log(m.logger, logrus.Fields{"duration_ms": turnedAway.Milliseconds()})
+func (m *lagMeter) recordRecovery(refusedFor time.Duration) {
+	m.sheddingSeconds.Add(refusedFor.Seconds())
+	event.GateLoadShed.Log(m.logger, logrus.Fields{"duration_ms": refusedFor.Milliseconds()})
 }
 
 // recovered reports whether requests get the processor without delay again.
--- a/internal/gate/lag_test.go
+++ b/internal/gate/lag_test.go
@@ -74,11 +74,11 @@
 func TestOverloadedRouterStillAcceptsAShare(t *testing.T) {
 	m := testLagMeter()
 	now := observeLag(m, 200, 150*time.Millisecond, boottime.Now())
-	if m.share() != minShare || m.accepts(now, beyondShare, 0) || !m.accepts(now, withinShare, 0) {
-		t.Errorf("the share of accepted requests is %v after a long overload, want the minimum, all of it for requests within their shares", m.share())
+	if m.acceptedShare() != minAcceptedShare || m.accepts(now, beyondShare, 0) || !m.accepts(now, withinShare, 0) {
+		t.Errorf("the share of accepted requests is %v after a long overload, want the minimum, all of it for requests within their shares", m.acceptedShare())
 	}
 	now = observeLag(m, 30, 0, now)
-	if share := m.share(); share <= minShare || share >= 1 {
+	if share := m.acceptedShare(); share <= minAcceptedShare || share >= 1 {
 		t.Errorf("the share of accepted requests is %v while the overload ends", share)
 	}
 	now = observeLag(m, 100, 0, now)
@@ -93,7 +93,7 @@
 	m := testLagMeter()
 	now := boottime.Now()
 	for _, share := range []float64{1, 0.8, 0.5} {
-		m.setShare(share)
+		m.setAcceptedShare(share)
 		if !m.accepts(now, withinShare, 0.999) {
 			t.Errorf("a request within its share is refused while a share of %v is accepted", share)
 		}
@@ -101,7 +101,7 @@
 	if m.accepts(now, beyondShare, 0.001) {
 		t.Error("a request beyond the shares is accepted while only those within them should be")
 	}
-	m.setShare(minShare)
+	m.setAcceptedShare(minAcceptedShare)
 	if m.accepts(now, withinShare, 0.999) || !m.accepts(now, withinShare, 0.1) {
 		t.Error("requests within the shares are not refused in their turn")
 	}
@@ -128,7 +128,7 @@
 	view := knownView(boottime.Now())
 	h.state.SetConfiguration(view.Index.Configuration, boottime.Now())
 	h.state.SetBackends(nil, knowledge.Position{Revision: 1}, boottime.Now())
-	h.lag.setShare(-1) // refuses everything
+	h.lag.setAcceptedShare(-1) // refuses everything
 	answer := httptest.NewRecorder()
 	h.ServeHTTP(answer, httptest.NewRequest(http.MethodGet, "http://h/a/x", nil))
 	if !strings.Contains(answer.Body.String(), string(ReasonOverloaded)) {
--- a/internal/gate/loads.go
+++ b/internal/gate/loads.go
@@ -100,6 +100,8 @@
 	}
 }
 
+// state returns the state of an incarnation, and creates it if needed. The caller must hold
+// the lock.
 func (l *loads) state(incarnation string) *backendState {
 	state := l.backends[incarnation]
 	if state == nil {
--- a/internal/gate/local.go
+++ b/internal/gate/local.go
@@ -40,11 +40,11 @@
 func (m *Manager) TakeCrashFingerprints() []uint64 { return m.handler.suspects.takeUnreported() }
 
 // SetUsages records the account usages of another router.
-func (m *Manager) SetUsages(router fleet.Address, uses map[fleet.Account]shares.Usage) {
+func (m *Manager) SetUsages(router fleet.Address, usages map[fleet.Account]shares.Usage) {
 	a := m.handler.admission
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.ledger.SetOther(string(router), uses, boottime.Now())
+	a.ledger.SetOther(string(router), usages, boottime.Now())
 }
 
 // RemoveUsages removes the account usages of a router that is no longer reachable.
--- a/internal/gate/manager.go
+++ b/internal/gate/manager.go
@@ -113,6 +113,7 @@
 	}
 }
 
+// apply applies and logs the changes between two views of the fleet state.
 func (m *Manager) apply(before, view *knowledge.View) {
 	if view.Version() != before.Version() {
 		m.acceptor.applyLimits(view.Index.Configuration.Limits)
--- a/internal/gate/metrics.go
+++ b/internal/gate/metrics.go
@@ -12,16 +12,16 @@
 // metrics are the gate's metrics. Their labels are bounded by the kinds of routes, the
 // statuses and the reasons, never by accounts or requests.
 type metrics struct {
-	answers  *prometheus.CounterVec
-	refusals *prometheus.CounterVec
-	placed   *prometheus.CounterVec
-	disrupts *prometheus.CounterVec
-	resets   *prometheus.CounterVec
-	drained  *prometheus.CounterVec
-	first    prometheus.Histogram
-	plain    *prometheus.GaugeVec // expected wait by service
-	zones    prometheus.Gauge     // evacuated
-	era      prometheus.Gauge     // of the store
+	answers          *prometheus.CounterVec
+	refusals         *prometheus.CounterVec
+	placed           *prometheus.CounterVec
+	disrupts         *prometheus.CounterVec
+	resets           *prometheus.CounterVec
+	drainingRequests *prometheus.CounterVec
+	firstEventTimes  prometheus.Histogram
+	plainWaits       *prometheus.GaugeVec // expected wait by service
+	evacuatedZones   prometheus.Gauge
+	era              prometheus.Gauge // of the store
 }
 
 func newMetrics(registerer prometheus.Registerer) *metrics {
@@ -46,21 +46,21 @@
 			Name: "bluebell_gate_resets_total",
 			Help: "Connections that broke while a request ran, by what became of the backend server.",
 		}, []string{"verdict"}),
-		drained: prometheus.NewCounterVec(prometheus.CounterOpts{
+		drainingRequests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "bluebell_gate_draining_requests_total",
 			Help: "Requests of a process that ends: taken although no connections were accepted any more, and ended as they were in progress at the end.",
 		}, []string{"outcome"}),
-		first: prometheus.NewHistogram(prometheus.HistogramOpts{
+		firstEventTimes: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name:    "bluebell_gate_first_event_seconds",
 			Help:    "Time from a streamed request's arrival to its first event.",
 			Buckets: prometheus.ExponentialBuckets(0.01, 1.8, 12),
 		}),
 	}
-	m.plain = prometheus.NewGaugeVec(prometheus.GaugeOpts{
+	m.plainWaits = prometheus.NewGaugeVec(prometheus.GaugeOpts{
 		Name: "bluebell_gate_plain_expected_wait_seconds",
 		Help: "Wait expected at the plain backend server that was best for the latest request, by service.",
 	}, []string{"service"})
-	m.zones = prometheus.NewGauge(prometheus.GaugeOpts{
+	m.evacuatedZones = prometheus.NewGauge(prometheus.GaugeOpts{
 		Name: "bluebell_gate_evacuated_zones",
 		Help: "Availability zones whose backend servers get no new requests.",
 	})
@@ -68,7 +68,7 @@
 		Name: "bluebell_gate_store_era",
 		Help: "How often the store has come back from an older copy, as it told last; 0 if it does not tell.",
 	})
-	registerer.MustRegister(m.answers, m.refusals, m.placed, m.disrupts, m.resets, m.drained, m.first, m.plain, m.zones, m.era)
+	registerer.MustRegister(m.answers, m.refusals, m.placed, m.disrupts, m.resets, m.drainingRequests, m.firstEventTimes, m.plainWaits, m.evacuatedZones, m.era)
 	return m
 }
 
@@ -78,9 +78,11 @@
 	drainEnded    = "ended"
 )
 
-func (m *metrics) acceptedDraining() { m.drained.WithLabelValues(drainAccepted).Inc() }
+func (m *metrics) acceptedDraining() { m.drainingRequests.WithLabelValues(drainAccepted).Inc() }
 
-func (m *metrics) endedDraining(count int) { m.drained.WithLabelValues(drainEnded).Add(float64(count)) }
+func (m *metrics) endedDraining(count int) {
+	m.drainingRequests.WithLabelValues(drainEnded).Add(float64(count))
+}
 
 func (m *metrics) answered(status int) {
 	m.answers.WithLabelValues(strconv.Itoa(status)).Inc()
@@ -117,17 +119,17 @@
 
 // plainWait records the expected wait of a request to a plain service.
 func (m *metrics) plainWait(service fleet.Service, wait time.Duration) {
-	m.plain.WithLabelValues(string(service)).Set(wait.Seconds())
+	m.plainWaits.WithLabelValues(string(service)).Set(wait.Seconds())
 }
 
 func (m *metrics) resetsJudged(verdict resetVerdict, count int) {
 	m.resets.WithLabelValues(string(verdict)).Add(float64(count))
 }
 
-func (m *metrics) evacuated(zones int) { m.zones.Set(float64(zones)) }
+func (m *metrics) evacuated(zones int) { m.evacuatedZones.Set(float64(zones)) }
 
 func (m *metrics) storeEra(era uint64) { m.era.Set(float64(era)) }
 
 func (m *metrics) firstEvent(took time.Duration) {
-	m.first.Observe(took.Seconds())
+	m.firstEventTimes.Observe(took.Seconds())
 }
--- a/internal/gate/pacemonitor.go
+++ b/internal/gate/pacemonitor.go
@@ -45,7 +45,7 @@
 
 // export starts exporting the paces as metrics and log entries.
 func (p *paces) export(logger logrus.FieldLogger, registerer prometheus.Registerer) {
-	w := &paceMonitor{
+	monitor := &paceMonitor{
 		logger: logger,
 		reports: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "bluebell_gate_load_reports_total",
@@ -53,49 +53,49 @@
 		}, []string{"result"}),
 		recorded: make(map[uint32]recordedPace),
 	}
-	registerer.MustRegister(w.reports, &paceCollector{paces: p})
-	p.monitor.Store(w)
+	registerer.MustRegister(monitor.reports, &paceCollector{paces: p})
+	p.monitor.Store(monitor)
 }
 
 // count counts a load report.
-func (w *paceMonitor) count(result string) {
-	if w != nil {
-		w.reports.WithLabelValues(result).Inc()
+func (m *paceMonitor) count(result string) {
+	if m != nil {
+		m.reports.WithLabelValues(result).Inc()
 	}
 }
 
 // logChange logs one backend server whose pace has changed, if a log entry is due. Others
 // are logged by later calls.
-func (w *paceMonitor) logChange(built *paceSnapshot) {
-	if w == nil || built.builtAt.Sub(w.recordedAt) < paceLogInterval {
+func (m *paceMonitor) logChange(built *paceSnapshot) {
+	if m == nil || built.builtAt.Sub(m.recordedAt) < paceLogInterval {
 		return
 	}
-	for server := range w.recorded {
-		if built.listed[server] == nil {
-			delete(w.recorded, server)
+	for hash := range m.recorded {
+		if built.listed[hash] == nil {
+			delete(m.recorded, hash)
 		}
 	}
 	written := false
-	built.snapshot.Each(func(server uint32, engine pace.Estimate) {
-		backend := built.listed[server]
+	built.snapshot.Each(func(hash uint32, estimate pace.Estimate) {
+		backend := built.listed[hash]
 		if backend == nil {
 			return
 		}
-		before, known := w.recorded[server]
-		if known && !before.differs(engine) {
+		before, known := m.recorded[hash]
+		if known && !before.differs(estimate) {
 			return
 		}
-		if known || engine.Contradicted { // the first report of a server is no change
+		if known || estimate.Contradicted { // the first report of a server is no change
 			if written {
 				return
 			}
 			written = true
-			w.write(backend.ID, before, engine)
+			m.write(backend.ID, before, estimate)
 		}
-		w.recorded[server] = recordedPace{usual: engine.Usual, contradicted: engine.Contradicted}
+		m.recorded[hash] = recordedPace{usual: estimate.Usual, contradicted: estimate.Contradicted}
 	})
 	if written {
-		w.recordedAt = built.builtAt
+		m.recordedAt = built.builtAt
 	}
 }
 
@@ -105,20 +105,20 @@
 	return change >= 1+minLoggedChange || change <= 1-minLoggedChange || (engine.Contradicted && !r.contradicted)
 }
 
-func (w *paceMonitor) write(backend string, before recordedPace, engine pace.Estimate) {
+func (m *paceMonitor) write(backend string, before recordedPace, estimate pace.Estimate) {
 	fields := logrus.Fields{
 		"backend":      backend,
-		"told":         engine.Reported,
-		"age_ms":       ageMilliseconds(engine.Age),
-		"contradicted": engine.Contradicted,
+		"told":         estimate.Reported,
+		"age_ms":       ageMilliseconds(estimate.Age),
+		"contradicted": estimate.Contradicted,
 	}
-	if engine.Seen > 0 {
-		fields["seen"] = engine.Seen
+	if estimate.Seen > 0 {
+		fields["seen"] = estimate.Seen
 	}
 	if before.usual > 0 {
 		fields["before"] = before.usual
 	}
-	event.GateEnginePace.Log(w.logger, fields)
+	event.GateEnginePace.Log(m.logger, fields)
 }
 
 // ageMilliseconds returns the age in milliseconds, -1 if it is unknown, which a negative
--- a/internal/gate/paces.go
+++ b/internal/gate/paces.go
@@ -25,8 +25,9 @@
 	minReadingSeconds = 3
 )
 
-// paces holds the observed and reported speed of each backend server. Its methods may be
-// called concurrently.
+// paces holds the observed and reported speed of each backend server. Speeds are compared
+// by work time, the time that a server takes for some work relative to the fleet's usual
+// machine, whose work time is 1. Its methods may be called concurrently.
 type paces struct {
 	settings *currentSettings
 	loads    *loads
@@ -41,7 +42,8 @@
 	listed map[uint32]*knowledge.Backend // by incarnation hash
 }
 
-// paceSnapshot is a snapshot with figures derived from it.
+// paceSnapshot is a snapshot of all estimates, with the list of backend servers for which
+// it was built and counts by service.
 type paceSnapshot struct {
 	snapshot *pace.Snapshot
 	builtAt  boottime.Instant
@@ -55,7 +57,7 @@
 
 // rateDoubtful reports whether most servers contradict the rate of the service: then the
 // rate is probably wrong, not the servers.
-func (s reportCounts) rateDoubtful() bool { return 2*s.contradicted > s.servers }
+func (c reportCounts) rateDoubtful() bool { return 2*c.contradicted > c.servers }
 
 func newPaces(settings *currentSettings, loads *loads, peers Peers) *paces {
 	return &paces{
@@ -75,9 +77,9 @@
 	if !p.enabled() {
 		return
 	}
-	watcher := p.monitor.Load()
+	monitor := p.monitor.Load()
 	if reply.MalformedLoad {
-		watcher.count(reportMalformed)
+		monitor.count(reportMalformed)
 		return
 	}
 	if reply.Load.WorkTime == 0 {
@@ -86,28 +88,29 @@
 	p.addBackend(backend)
 	p.table.RecordReport(backend.IncarnationHash, reply.Load, now)
 	if p.estimate(backend.IncarnationHash).Contradicted {
-		watcher.count(reportContradicted)
+		monitor.count(reportContradicted)
 		return
 	}
-	watcher.count(reportTaken)
+	monitor.count(reportTaken)
 }
 
 // recordReading records how long an engine took to read the pending prompt tokens, and
-// returns the time that an engine with work time 1 would have taken.
+// returns the time that an engine with work time 1 would have taken, from which the rate of
+// the service is derived.
 func (p *paces) recordReading(backend *knowledge.Backend, pending float64, took time.Duration) time.Duration {
 	if !p.enabled() {
 		return took
 	}
 	p.table.RecordFirstEvent(backend.IncarnationHash, pending, took, boottime.Now())
 	built := p.current()
-	engine := built.snapshot.Engine(backend.IncarnationHash)
-	if !engine.HasReport {
+	estimate := built.snapshot.Engine(backend.IncarnationHash)
+	if !estimate.HasReport {
 		return took
 	}
-	workTime := engine.Usual
-	if engine.Contradicted && built.services[backend.Service].rateDoubtful() {
+	workTime := estimate.Usual
+	if estimate.Contradicted && built.services[backend.Service].rateDoubtful() {
 		// With their observed work times, these engines would confirm a wrong rate forever.
-		workTime = engine.Reported
+		workTime = estimate.Reported
 	}
 	return time.Duration(float64(took) / workTime)
 }
@@ -184,17 +187,18 @@
 }
 
 // youngerThan reports whether the snapshot exists and is younger than the given age.
-func (b *paceSnapshot) youngerThan(now boottime.Instant, age time.Duration) bool {
-	return b != nil && now.Sub(b.builtAt) < age
+func (s *paceSnapshot) youngerThan(now boottime.Instant, age time.Duration) bool {
+	return s != nil && now.Sub(s.builtAt) < age
 }
 
+// build merges all routers' observations into a new snapshot.
 func (p *paces) build(now boottime.Instant) *paceSnapshot {
 	p.mu.Lock()
 	listed := p.listed
 	p.mu.Unlock()
 	rates := make(map[fleet.Service]float64)
-	serviceRate := func(server uint32) float64 {
-		backend := listed[server]
+	rateOf := func(hash uint32) float64 {
+		backend := listed[hash]
 		if backend == nil {
 			return 0
 		}
@@ -206,19 +210,19 @@
 		return rate
 	}
 	built := &paceSnapshot{
-		snapshot: pace.NewSnapshot(p.table.Own(now), p.peers.Paces(now), serviceRate, now),
+		snapshot: pace.NewSnapshot(p.table.Own(now), p.peers.Paces(now), rateOf, now),
 		builtAt:  now,
 		services: make(map[fleet.Service]reportCounts),
 		listed:   listed,
 	}
-	built.snapshot.Each(func(server uint32, engine pace.Estimate) {
-		backend := listed[server]
+	built.snapshot.Each(func(hash uint32, estimate pace.Estimate) {
+		backend := listed[hash]
 		if backend == nil {
 			return
 		}
 		counts := built.services[backend.Service]
 		counts.servers++
-		if engine.Contradicted {
+		if estimate.Contradicted {
 			counts.contradicted++
 		}
 		built.services[backend.Service] = counts
@@ -236,7 +240,8 @@
 	return rate
 }
 
-// addBackend adds a backend server that has answered before it was listed.
+// addBackend adds a backend server that has answered before it was listed to the servers
+// that snapshots include.
 func (p *paces) addBackend(backend *knowledge.Backend) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/gate/paces_test.go
+++ b/internal/gate/paces_test.go
@@ -293,11 +293,11 @@
 func TestChangedPacesAreLoggedOnceASecond(t *testing.T) {
 	logger, hook := logrustest.NewNullLogger()
 	f := newPacedFleet(t, true)
-	watcher := &paceMonitor{logger: logger, recorded: make(map[uint32]recordedPace)}
+	monitor := &paceMonitor{logger: logger, recorded: make(map[uint32]recordedPace)}
 	logChange := func(now boottime.Instant, usual float64) {
 		own := map[uint32]pace.Observation{f.fast.IncarnationHash: {Usual: usual}, f.slow.IncarnationHash: {Usual: usual}}
 		snapshot := pace.NewSnapshot(own, nil, func(uint32) float64 { return 0 }, now)
-		watcher.logChange(&paceSnapshot{snapshot: snapshot, builtAt: now, listed: f.paces.listed})
+		monitor.logChange(&paceSnapshot{snapshot: snapshot, builtAt: now, listed: f.paces.listed})
 	}
 	now := boottime.Now()
 	logChange(now, 1)
--- a/internal/gate/place_model.go
+++ b/internal/gate/place_model.go
@@ -10,7 +10,8 @@
 	"github.com/bluebellchute/bluebellchute/internal/selection"
 )
 
-// modelSearch holds the inputs of the search for an engine for one request.
+// modelSearch holds everything that the choice of an engine for one request depends on,
+// except the list of usable engines.
 type modelSearch struct {
 	request      *Request
 	view         *knowledge.View
@@ -35,8 +36,8 @@
 	if !a.policy().TierOpen(tier, modelRequest.Usage) {
 		return nil, a.refuseModel(request, tier, Inputs{Tier: tier, ShareUsed: modelRequest.Usage.ShareUsed})
 	}
-	search := a.search(request, view, tier, modelRequest, now)
-	backend, choice := a.choose(search, usable, now)
+	search := a.newModelSearch(request, view, tier, modelRequest, now)
+	backend, choice := a.chooseEngine(search, usable, now)
 	inputs := search.inputs(backend, choice)
 	switch {
 	case !choice.Fits:
@@ -63,8 +64,9 @@
 	return placed, nil
 }
 
-// search returns the inputs of the search for an engine.
-func (a *admission) search(request *Request, view *knowledge.View, tier policy.Tier, modelRequest policy.ModelRequest, now boottime.Instant) *modelSearch {
+// newModelSearch derives the bounds, limits and ranking that apply to the request. Paces
+// are used only if servers of the service report their work times.
+func (a *admission) newModelSearch(request *Request, view *knowledge.View, tier policy.Tier, modelRequest policy.ModelRequest, now boottime.Instant) *modelSearch {
 	bounds := a.policy().Bounds(tier, modelRequest)
 	search := &modelSearch{
 		request:      request,
@@ -72,8 +74,8 @@
 		tier:         tier,
 		modelRequest: modelRequest,
 		bounds:       bounds,
-		demand:       a.demand(request, bounds),
-		limits:       a.limits(view, request.Service, bounds),
+		demand:       a.engineDemand(request, bounds),
+		limits:       a.engineLimits(view, request.Service, bounds),
 		segment:      request.Prompt.SharedSegment(),
 	}
 	search.cacheHolder = a.cacheHolder(search.segment, view, now)
@@ -92,10 +94,11 @@
 	return search
 }
 
-// choose returns an engine for the request among the usable ones, of which there must be at
-// least one, and the state found there. For some requests it prefers an engine of the
-// router's own availability zone that has as much room as the best one of all zones.
-func (a *admission) choose(search *modelSearch, usable []*knowledge.Backend, now boottime.Instant) (*knowledge.Backend, selection.Choice) {
+// chooseEngine chooses an engine for the request among the usable ones, of which there must
+// be at least one, and counts a request for the segment. For some requests it prefers an
+// engine of the router's own availability zone that has as much room as the best one of all
+// zones.
+func (a *admission) chooseEngine(search *modelSearch, usable []*knowledge.Backend, now boottime.Instant) (*knowledge.Backend, selection.Choice) {
 	frequent := a.recordDemand(search.segment, now) // counts the request, wherever it is placed
 	// While some engines get no requests, the list of usable ones is built for each
 	// request.
@@ -112,9 +115,9 @@
 	return backend, choice
 }
 
-// chooseAmong chooses among the first engines, at most limit, of the segment's order.
-// filtered reports whether usable was built from the serving engines for this request,
-// rather than being a list of the view.
+// chooseAmong chooses among the usable engines that rank first for the segment, at most
+// limit of them; see ranking. filtered reports whether usable was built from the serving
+// engines for this request, rather than being a list of the view.
 func (a *admission) chooseAmong(search *modelSearch, usable []*knowledge.Backend, filtered bool, limit int) (*knowledge.Backend, selection.Choice) {
 	var ranked []int
 	if filtered {
@@ -122,8 +125,8 @@
 	} else {
 		ranked = search.ranking.rank(usable, search.segment, limit)
 	}
-	engine := a.engines(search, usable, ranked)
-	choice := selection.ChooseEngine(len(ranked), engine, search.demand, search.limits)
+	engineAt := a.engineStates(search, usable, ranked)
+	choice := selection.ChooseEngine(len(ranked), engineAt, search.demand, search.limits)
 	return usable[ranked[choice.Place]], choice
 }
 
@@ -158,7 +161,8 @@
 	}
 }
 
-// leastHeadroom returns the minimum to which late answers lower the headroom of a service.
+// leastHeadroom returns the minimum to which late answers lower the headroom of a service:
+// the configured one, or a higher one if streams are protected there.
 func (a *admission) leastHeadroom(service fleet.Service) float64 {
 	if a.paces.hasReports(service) {
 		return a.policy().HeadroomFloor()
@@ -167,7 +171,7 @@
 }
 
 // accountUsage returns how much of its share the request's account will have used with this
-// request.
+// request. It also applies the current ObservedCapacity setting to the ledger.
 func (a *admission) accountUsage(request *Request, capacity float64, now boottime.Instant) policy.AccountUsage {
 	if request.Account == nil {
 		return policy.AccountUsage{}
@@ -182,7 +186,9 @@
 	}
 }
 
-// refuseModel refuses a request that no engine accepts within its bounds.
+// refuseModel refuses a request whose tier is closed, or that no engine accepts within its
+// bounds. For the idle tier the reason is that the account has used its share, for other
+// tiers that the engines are busy.
 func (a *admission) refuseModel(request *Request, tier policy.Tier, inputs Inputs) *Refusal {
 	reason := ReasonBusy
 	if tier == policy.TierIdle {
@@ -191,7 +197,8 @@
 	return a.refuseForCapacity(request, reason, inputs)
 }
 
-// refuseForCapacity refuses a request for lack of capacity.
+// refuseForCapacity returns a refusal whose Retry-After depends on how much of its share the
+// account has used.
 func (a *admission) refuseForCapacity(request *Request, reason Reason, inputs Inputs) *Refusal {
 	refusal := a.refuse(request, reason)
 	refusal.RetryAfter = a.policy().RetryAfterByUsage(request.Route.TargetLatency, inputs.ShareUsed, rand.Float64())
@@ -214,7 +221,9 @@
 	a.ledger.AddGranted(request.Account.Name, request.Prompt.Cost(), now)
 }
 
-func (a *admission) demand(request *Request, bounds policy.Bounds) selection.Demand {
+// engineDemand returns what the request needs of an engine. Its output counts with the
+// expected length if that is known and below the maximum.
+func (a *admission) engineDemand(request *Request, bounds policy.Bounds) selection.Demand {
 	prompt := request.Prompt
 	shared := float64(prompt.SharedTokens())
 	output := prompt.MaxOutput
@@ -230,9 +239,9 @@
 	}
 }
 
-// engines returns a function that returns the state of a candidate, by its position in the
-// segment's order.
-func (a *admission) engines(search *modelSearch, usable []*knowledge.Backend, ranked []int) func(place int) selection.Engine {
+// engineStates returns a function that returns the state of an engine by its position in
+// ranked, which holds indices in usable.
+func (a *admission) engineStates(search *modelSearch, usable []*knowledge.Backend, ranked []int) func(place int) selection.Engine {
 	capacity := 0.0
 	if settings := search.view.Index.Service(search.request.Service); settings != nil {
 		capacity = float64(settings.KVCapacity)
@@ -252,7 +261,7 @@
 		if search.ranking.weighted {
 			estimate := search.ranking.snapshot.Engine(backend.IncarnationHash)
 			engine.Rate, engine.Slowdown = estimate.Rate, estimate.Slowdown()
-			if engine.Rate == 0 { // too few observations to know the service's rate
+			if engine.Rate == 0 { // too little was observed to know the service's rate
 				engine.Rate = search.limits.Rate * estimate.Speed()
 			}
 		}
@@ -266,15 +275,17 @@
 // the first observation, if no capacity is configured either.
 const defaultReadRate = 20_000
 
-func (a *admission) limits(view *knowledge.View, service fleet.Service, bounds policy.Bounds) selection.Limits {
-	assumed := float64(defaultReadRate)
+// engineLimits returns the limits for the choice of an engine of the service. Before the
+// first observation, the engines are assumed to share the stated capacity evenly.
+func (a *admission) engineLimits(view *knowledge.View, service fleet.Service, bounds policy.Bounds) selection.Limits {
+	assumedRate := float64(defaultReadRate)
 	stated := view.Index.Configuration.Limits.TokensPerSecond
 	if count := len(view.ByService[service]); stated > 0 && count > 0 {
-		assumed = stated / float64(count)
+		assumedRate = stated / float64(count)
 	}
 	return selection.Limits{
 		SecondPenalty: a.policy().SecondPenalty,
-		Rate:          a.loads.rate(service, assumed),
+		Rate:          a.loads.rate(service, assumedRate),
 		SlotShare:     bounds.SlotShare,
 		Fallbacks:     bounds.MaxEngines,
 		MemoryShare:   bounds.MemoryShare,
--- a/internal/gate/ranking.go
+++ b/internal/gate/ranking.go
@@ -137,9 +137,9 @@
 	if cached := c.ownZone[&list[0]]; len(cached.list) == len(list) {
 		return cached.inZone
 	}
-	near := inZone(list, zone)
-	c.ownZone[&list[0]] = zoneList{list: list, inZone: near}
-	return near
+	engines := inZone(list, zone)
+	c.ownZone[&list[0]] = zoneList{list: list, inZone: engines}
+	return engines
 }
 
 // inZone returns the engines of the list in the availability zone.
--- a/internal/gate/relay.go
+++ b/internal/gate/relay.go
@@ -133,6 +133,8 @@
 	r.handler.refuse(r.writer, r.request, refusal)
 }
 
+// drainEndedRefusal returns the answer to a request that was cancelled because draining
+// ended.
 func (r *relay) drainEndedRefusal() Refusal {
 	if r.mayHaveRun {
 		return Refusal{Status: http.StatusBadGateway, Reason: ReasonDraining}
@@ -140,6 +142,7 @@
 	return drainRefusal()
 }
 
+// timeoutRefusal returns the answer to a request whose time limit has passed.
 func (r *relay) timeoutRefusal() Refusal {
 	if r.mayHaveRun {
 		return Refusal{Status: http.StatusGatewayTimeout, Reason: ReasonTimeout}
@@ -215,6 +218,7 @@
 	}
 }
 
+// outgoingRequest returns the request in the form in which it is sent to the backend server.
 func (r *relay) outgoingRequest(ctx context.Context, placed *placement, now boottime.Instant) *backendconn.Request {
 	forward := &Forward{
 		Request:     r.request,
@@ -286,6 +290,7 @@
 	return id == "" || id == r.request.ID
 }
 
+// sendFailed handles a request that could not be sent, or whose answer did not begin.
 func (r *relay) sendFailed(ctx context.Context, placed *placement, sent boottime.Instant, err error) sendOutcome {
 	h := r.handler
 	notSent := backendconn.ProgressOf(err) == backendconn.ProgressNone
--- a/internal/gate/requestcounts.go
+++ b/internal/gate/requestcounts.go
@@ -45,45 +45,45 @@
 }
 
 func newRequestCounts() *requestCounts {
-	t := &requestCounts{}
-	t.reset()
-	return t
+	counts := &requestCounts{}
+	counts.reset()
+	return counts
 }
 
-func (t *requestCounts) reset() {
-	t.routes = make(map[string]*RouteCounts)
-	t.accounts = make(map[fleet.Account]*AccountCounts)
+func (c *requestCounts) reset() {
+	c.routes = make(map[string]*RouteCounts)
+	c.accounts = make(map[fleet.Account]*AccountCounts)
 }
 
 // addRequested counts a request that has arrived.
-func (t *requestCounts) addRequested(request *Request) {
+func (c *requestCounts) addRequested(request *Request) {
 	if !request.countsTowardShare() {
 		return
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.account(request.Account.Name).Requested += int64(request.Prompt.Cost())
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.account(request.Account.Name).Requested += int64(request.Prompt.Cost())
 }
 
 // addEnd counts the end of a request.
-func (t *requestCounts) addEnd(request *Request, count func(route *RouteCounts)) {
+func (c *requestCounts) addEnd(request *Request, count func(route *RouteCounts)) {
 	name := ""
 	if request != nil && request.Route != nil {
 		name = request.Route.Name
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	route := t.routes[name]
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	route := c.routes[name]
 	if route == nil {
 		route = &RouteCounts{}
-		t.routes[name] = route
+		c.routes[name] = route
 	}
 	count(route)
 }
 
 // addAnswer counts an answer.
-func (t *requestCounts) addAnswer(request *Request, success, late bool) {
-	t.addEnd(request, func(route *RouteCounts) {
+func (c *requestCounts) addAnswer(request *Request, success, late bool) {
+	c.addEnd(request, func(route *RouteCounts) {
 		switch {
 		case !success:
 			route.Failed++
@@ -93,14 +93,14 @@
 			route.InTime++
 		}
 		if success && request.countsTowardShare() {
-			t.account(request.Account.Name).Served += int64(request.Prompt.Cost())
+			c.account(request.Account.Name).Served += int64(request.Prompt.Cost())
 		}
 	})
 }
 
 // addRefusal counts a refusal.
-func (t *requestCounts) addRefusal(request *Request, reason Reason) {
-	t.addEnd(request, func(route *RouteCounts) {
+func (c *requestCounts) addRefusal(request *Request, reason Reason) {
+	c.addEnd(request, func(route *RouteCounts) {
 		if route.Refused == nil {
 			route.Refused = make(map[Reason]int)
 		}
@@ -108,22 +108,22 @@
 	})
 }
 
-func (t *requestCounts) account(name fleet.Account) *AccountCounts {
-	counts := t.accounts[name]
+func (c *requestCounts) account(name fleet.Account) *AccountCounts {
+	counts := c.accounts[name]
 	if counts == nil {
 		counts = &AccountCounts{Account: name}
-		t.accounts[name] = counts
+		c.accounts[name] = counts
 	}
 	return counts
 }
 
 // write logs what was counted since the last call, together with the given fields, and
 // resets the counts.
-func (t *requestCounts) write(logger logrus.FieldLogger, fields logrus.Fields) {
-	t.mu.Lock()
-	routes, accounts := t.routes, t.accounts
-	t.reset()
-	t.mu.Unlock()
+func (c *requestCounts) write(logger logrus.FieldLogger, fields logrus.Fields) {
+	c.mu.Lock()
+	routes, accounts := c.routes, c.accounts
+	c.reset()
+	c.mu.Unlock()
 	if len(routes)+len(accounts) == 0 {
 		return
 	}
--- a/internal/gate/segmentindex.go
+++ b/internal/gate/segmentindex.go
@@ -79,7 +79,7 @@
 }
 
 // cacheHolder returns the backend server that was the last to read the segment, nil if it
-// is unknown, gone or has restarted since.
+// is unknown, no longer listed or has restarted since.
 func (s *segmentIndex) cacheHolder(segment string, view *knowledge.View) *knowledge.Backend {
 	holder, ok := s.engines.Get(segment)
 	if !ok {
--- a/internal/gate/streamtiming.go
+++ b/internal/gate/streamtiming.go
@@ -15,22 +15,22 @@
 }
 
 func newStreamTiming(request *Request) *streamTiming {
-	p := &streamTiming{maxGap: request.Route.TargetGap}
+	timing := &streamTiming{maxGap: request.Route.TargetGap}
 	if target := request.Route.TargetLatency; target > 0 {
-		p.firstDeadline = request.Received.Add(target)
+		timing.firstDeadline = request.Received.Add(target)
 	}
-	return p
+	return timing
 }
 
 // recordEvent records the time of an event and reports whether it is the first.
-func (p *streamTiming) recordEvent(now boottime.Instant) bool {
-	began := p.last == 0
+func (t *streamTiming) recordEvent(now boottime.Instant) bool {
+	isFirst := t.last == 0
 	switch {
-	case began:
-		p.late = p.firstDeadline != 0 && now > p.firstDeadline
-	case p.maxGap > 0 && now.Sub(p.last) > p.maxGap:
-		p.late = true
+	case isFirst:
+		t.late = t.firstDeadline != 0 && now > t.firstDeadline
+	case t.maxGap > 0 && now.Sub(t.last) > t.maxGap:
+		t.late = true
 	}
-	p.last = now
-	return began
+	t.last = now
+	return isFirst
 }
--- a/internal/gate/suspects.go
+++ b/internal/gate/suspects.go
@@ -68,6 +68,8 @@
 	s.add(fingerprint).others[router] = true
 }
 
+// add returns the entry of a request that was running during a crash, and creates it if
+// needed.
 func (s *suspects) add(fingerprint uint64) *suspect {
 	now := boottime.Now()
 	if len(s.known) >= maxSuspects {
@@ -98,10 +100,10 @@
 func (s *suspects) refused(fingerprint uint64) bool { return s.count(fingerprint) >= maxCrashes }
 
 // count returns how many backend servers the request has crashed.
-func (s *suspects) count(print uint64) int {
+func (s *suspects) count(fingerprint uint64) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known := s.known[print]
+	known := s.known[fingerprint]
 	if known == nil || boottime.Now().Sub(known.last) > suspectTTL {
 		return 0
 	}
