--- a/internal/shares/capacity.go
+++ b/internal/shares/capacity.go
@@ -34,18 +34,18 @@
 // each outage of the store: 344 to 594 requests were refused as busy while engines were
 // idle.
 type capacityTest struct {
-	share  float64 // decayed, as of at
-	active bool    // since at
+	share  float64 // of the sums' period, as of at
+	active bool    // whether the capacity has been tested since at
 	at     boottime.Instant
 }
 
 // set records whether the capacity is being tested from now on.
 func (t *capacityTest) set(active bool, now boottime.Instant) {
 	if t.at != 0 {
-		kept := decayFactor(now.Sub(t.at))
-		t.share *= kept
+		remaining := decayFactor(now.Sub(t.at))
+		t.share *= remaining
 		if t.active {
-			t.share += 1 - kept
+			t.share += 1 - remaining
 		}
 	}
 	t.active, t.at = active, now
--- a/internal/shares/shares.go
+++ b/internal/shares/shares.go
@@ -18,7 +18,8 @@
 type Usage struct {
 	Requested float64
 	Granted   float64 // counts against its share
-	// Idle is what it was granted beyond that from otherwise idle engines.
+	// Idle is what it was granted on otherwise idle engines. It does not count against its
+	// share.
 	Idle float64
 }
 
@@ -37,17 +38,19 @@
 // users measure shares, so that an account that was idle gets its share immediately.
 const decayTime = 2 * time.Second
 
-// decayingUsage is a decaying sum.
+// decayingUsage is the usage of an account at this router, decayed up to the time at.
 type decayingUsage struct {
 	usage Usage
 	at    boottime.Instant
 }
 
-func (s *decayingUsage) decay(now boottime.Instant) {
-	s.usage = s.usage.Decayed(now.Sub(s.at))
-	s.at = now
+// decay brings the usage up to date.
+func (u *decayingUsage) decay(now boottime.Instant) {
+	u.usage = u.usage.Decayed(now.Sub(u.at))
+	u.at = now
 }
 
+// decayFactor returns the fraction of a sum that remains after the time has passed.
 func decayFactor(passed time.Duration) float64 {
 	return math.Exp(-passed.Seconds() / decayTime.Seconds())
 }
@@ -58,8 +61,8 @@
 	at     boottime.Instant
 }
 
-// minTracked is the sum below which an account is dropped from the table, far below the
-// cost of one request.
+// minTracked is the sum of tokens below which an account is removed from the ledger, far
+// below the cost of one request.
 const minTracked = 1
 
 // Ledger holds the usage of all accounts. It is not safe for concurrent use.
@@ -72,11 +75,11 @@
 	othersTotal   map[fleet.Account]Usage
 	othersTotalAt boottime.Instant
 
-	maxMinShare float64
-	evenShare   float64 // max-min fair share of all served tokens, including idle capacity
-	shortage    float64
-	computedAt  boottime.Instant
-	test        capacityTest
+	maxMinShare  float64
+	evenShare    float64 // max-min fair share of all served tokens, including idle capacity
+	shortage     float64
+	computedAt   boottime.Instant
+	capacityTest capacityTest
 
 	// ObserveCapacity enables dividing the observed capacity of the engines when it is
 	// less than the stated one.
@@ -92,21 +95,23 @@
 	}
 }
 
-// AddRequested counts a request that a caller of the account made.
+// AddRequested adds the tokens of a request that a caller of the account made.
 func (l *Ledger) AddRequested(account fleet.Account, tokens float64, now boottime.Instant) {
 	l.entry(account, now).usage.Requested += tokens
 }
 
-// PauseCapacityTest records that callers are refused for a reason other than the capacity
-// of the engines.
-func (l *Ledger) PauseCapacityTest(now boottime.Instant) { l.test.set(false, now) }
+// PauseCapacityTest excludes the time from now on from the capacity test, until shares are
+// next computed while accounts request more than the capacity. It is called when a request
+// is refused for a reason other than the capacity of the engines; see capacityTest.
+func (l *Ledger) PauseCapacityTest(now boottime.Instant) { l.capacityTest.set(false, now) }
 
-// AddGranted counts a request that was sent to a backend server.
+// AddGranted adds the tokens of a request that was sent to a backend server and counts
+// against the account's share.
 func (l *Ledger) AddGranted(account fleet.Account, tokens float64, now boottime.Instant) {
 	l.entry(account, now).usage.Granted += tokens
 }
 
-// AddIdle counts a request that was granted idle capacity.
+// AddIdle adds the tokens of a request that was granted idle capacity.
 func (l *Ledger) AddIdle(account fleet.Account, tokens float64, now boottime.Instant) {
 	l.entry(account, now).usage.Idle += tokens
 }
@@ -123,6 +128,7 @@
 	entry.usage.Granted = max(0, entry.usage.Granted-tokens)
 }
 
+// entry returns the account's usage at this router as of now, and creates it if needed.
 func (l *Ledger) entry(account fleet.Account, now boottime.Instant) *decayingUsage {
 	entry := l.own[account]
 	if entry == nil {
@@ -160,9 +166,10 @@
 // the current usage of their accounts.
 const sharesTTL = 50 * time.Millisecond
 
-// ShareUsed returns the fraction of its share that the account will have used with the
-// tokens, when the fleet's capacity for all accounts is this many tokens per second: up
-// to 1, it stays within its share. It is 0 while capacity suffices for all requests.
+// ShareUsed returns the fraction of its share that the account will have used after a
+// request of this many tokens, given the fleet's capacity in tokens per second. Half of the
+// request's tokens count, so that the result is at most 1 if at least half of the request
+// is within the share. It is 0 while capacity suffices for all requests.
 func (l *Ledger) ShareUsed(account fleet.Account, tokens, capacity float64, now boottime.Instant) float64 {
 	if capacity <= 0 {
 		return 0
@@ -177,13 +184,13 @@
 // MaxMinShare returns the max-min fair share in tokens, as of the last ShareUsed.
 func (l *Ledger) MaxMinShare() float64 { return l.maxMinShare }
 
-// EvenShareUsed returns the fraction of its even share of all recently served tokens,
-// including idle capacity, that the account will have used with the tokens. It uses the
-// shares computed by the last ShareUsed.
+// EvenShareUsed is like ShareUsed for the account's even share: its max-min fair share of
+// all tokens served recently, including those of idle capacity. It uses the shares computed
+// by the last ShareUsed.
 //
-// Idle capacity that is granted to any request goes to the largest account alone: one got
-// 5,629,545 tokens in six seconds, with a share of some 900,000, while another that
-// requested 5,461,090 got 1,643,484.
+// Without a bound on it, idle capacity goes to the largest account alone: one with a share
+// of some 900,000 tokens got 5,629,545 in six seconds, while another that requested
+// 5,461,090 got 1,643,484.
 func (l *Ledger) EvenShareUsed(account fleet.Account, tokens float64, now boottime.Instant) float64 {
 	if l.evenShare == 0 {
 		return 0
@@ -219,8 +226,8 @@
 	shortage := 0.0
 	if l.ObserveCapacity {
 		contested := !math.IsInf(MaxMinShare(requested, capacity), 1)
-		l.test.set(contested, now)
-		capacity, shortage = observedCapacity(capacity, granted, l.test.share)
+		l.capacityTest.set(contested, now)
+		capacity, shortage = observedCapacity(capacity, granted, l.capacityTest.share)
 	}
 	l.evenShare = MaxMinShare(requested, max(capacity, servedGrowth*served))
 	l.maxMinShare = MaxMinShare(requested, capacity)
@@ -266,8 +273,8 @@
 		entry.decay(now)
 		total = entry.usage
 	}
-	if rest, ok := l.othersTotal[account]; ok {
-		total = total.Add(rest.Decayed(now.Sub(l.othersTotalAt)))
+	if others, ok := l.othersTotal[account]; ok {
+		total = total.Add(others.Decayed(now.Sub(l.othersTotalAt)))
 	}
 	return total
 }
