--- a/internal/policy/plainload.go
+++ b/internal/policy/plainload.go
@@ -48,10 +48,13 @@
 }
 
 // Estimate records the counts and returns the estimated number of requests at the server.
-// dither is a random number in [0, 1) by which a router rounds up its own share when that
-// is not a whole number of requests. It is scaled by how far the server is saturated:
-// full dither at any load refuses many requests that a just saturated server could take,
-// and little dither admits too many to an overloaded one.
+//
+// dither is a random number in [0, 1). A router's part of the slots is rarely a whole
+// number of requests, so dither is added to its own requests before they are scaled up. It
+// is first multiplied by the amount, at most 1, by which the average utilisation exceeds
+// plainSaturated. Without that factor, many requests would be refused that a server just
+// above this utilisation could take; with a much smaller one, an overloaded server would
+// get too many.
 func (l *PlainLoad) Estimate(counts PlainCounts, dither float64, now boottime.Instant) int {
 	known := counts.Own + counts.Others
 	now = max(now, l.updatedAt) // an earlier time would give a negative weight
--- a/internal/policy/protect.go
+++ b/internal/policy/protect.go
@@ -73,7 +73,8 @@
 // EngineWeight returns the preference for an engine of the speed, where 1 is average.
 func EngineWeight(speed, exponent float64) float64 { return math.Pow(speed, exponent) }
 
-// HeadroomFloor returns the lower bound of the headroom.
+// HeadroomFloor returns the lower bound of the headroom at a service whose streams can be
+// protected.
 func (s *Settings) HeadroomFloor() float64 {
 	if s.GapShare == 0 {
 		return s.LeastHeadroom
