--- a/internal/selection/model.go
+++ b/internal/selection/model.go
@@ -39,8 +39,8 @@
 	// MemoryShare is the fraction of the memory that requests may fill. An engine that
 	// runs out of memory drops a running request and reads it again.
 	MemoryShare float64
-	// SecondPenalty is the cost of the shared segments at an engine that the key does not
-	// prefer, as a multiple of reading them.
+	// SecondPenalty is the cost of the shared segments at an engine that is not the first
+	// choice and not known to cache them, as a multiple of reading them.
 	//
 	// It is more than 1 because the segments then take memory at both engines, and
 	// fetching finds nothing while the first engine is still reading them. Results hardly
@@ -74,18 +74,18 @@
 	Moved bool
 }
 
-// PreferredEngines is how many engines in a key's order share its prompt segments. Each
-// further engine would have to read them again.
+// PreferredEngines is how many engines in a segment's ranking usually read it. Each
+// further engine would have to read it again.
 const PreferredEngines = 2
 
 // ChooseEngine chooses an engine for the demand among the candidates, of which there must
-// be at least one. engine returns the candidate at a position in the key's order of
-// preference. It chooses the first one, or the second if the first is so much busier that
+// be at least one. engine returns the candidate at a position in the segment's
+// ranking. It chooses the first one, or the second if the first is so much busier that
 // reading the shared segments again at the second is faster.
 //
 // Further candidates are considered only if the request fits at neither, or disrupts
 // streams at both. The first one is chosen at which it fits and disrupts no stream: all
-// routers fall back to the same engines for a key, so few engines read its segments. If
+// routers fall back to the same engines for a segment, so few engines read it. If
 // there is none, the first fallback is chosen at which the request fits.
 func ChooseEngine(candidates int, engine func(place int) Engine, demand Demand, limits Limits) Choice {
 	var best Choice
@@ -121,7 +121,7 @@
 	return a.Wait < b.Wait
 }
 
-// evaluate returns the choice of the engine at this position in the key's order.
+// evaluate returns the choice of the engine at this position in the segment's ranking.
 func evaluate(engine Engine, demand Demand, limits Limits, place int) Choice {
 	tokens := demand.OwnTokens
 	if place > 0 && !engine.CachesShared {
