--- a/internal/pace/snapshot.go
+++ b/internal/pace/snapshot.go
@@ -69,6 +69,7 @@
 	return s
 }
 
+// add adds the estimate for a server, unless it has reported no work time recently.
 func (s *Snapshot) add(server uint32, observation Observation, serviceRate func(server uint32) float64, now boottime.Instant) {
 	if observation.Usual > 0 {
 		s.estimates[server] = estimate(observation, serviceRate(server), now)
--- a/internal/pace/table.go
+++ b/internal/pace/table.go
@@ -70,6 +70,7 @@
 	return minKnown(s.windowMin, s.previousMin)
 }
 
+// add adds to the decaying sums.
 func (s *serverRecord) add(sums Observation, now boottime.Instant) {
 	s.sums = s.sums.Decayed(now.Sub(s.sumsAt)).Merge(sums)
 	s.sumsAt = max(s.sumsAt, now)
@@ -91,6 +92,7 @@
 	t.add(server, ended, now)
 }
 
+// add adds to the sums of a server that reports its work time, and ignores others.
 func (t *Table) add(server uint32, sums Observation, now boottime.Instant) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
