--- a/internal/slowstart/limiter.go
+++ b/internal/slowstart/limiter.go
@@ -132,6 +132,8 @@
 // MarkSent.
 func (p *Permit) Release() { p.finish(func(*serverState) {}) }
 
+// finish ends the permit once: the request is no longer pending, and record records what
+// has become of it.
 func (p *Permit) finish(record func(entry *serverState)) {
 	if p == nil {
 		return
@@ -162,6 +164,7 @@
 	return len(entry.sent)+entry.pending < entry.allotment.maxRequests
 }
 
+// entry returns the state of a server, and creates it if needed.
 func (l *Limiter) entry(key uint64, now boottime.Instant) *serverState {
 	l.sweep(now)
 	entry := l.servers[key]
@@ -173,7 +176,8 @@
 	return entry
 }
 
-// sweep drops servers that have long been warm or gone.
+// sweep removes servers to which nothing was sent for serverTTL: they are warm by now, or no
+// longer exist.
 func (l *Limiter) sweep(now boottime.Instant) {
 	if now.Sub(l.sweptAt) < serverTTL {
 		return
