--- a/internal/knowledge/backend_list.go
+++ b/internal/knowledge/backend_list.go
@@ -14,12 +14,14 @@
 // removed servers.
 const missingGrace = 1500 * time.Millisecond
 
-// minOutageAge is the least value of View.outageAge.
+// minOutageAge is the lower bound of View.outageAge, the age of the list from which the
+// next one counts as the first after an outage of the store.
 const minOutageAge = 3 * time.Second
 
-// SetListRefreshInterval sets the greatest age that the list reaches while the store
-// answers. If that were more than the age from which an outage is assumed, every removed
-// backend server would be retained as one whose entry may be written again.
+// SetListRefreshInterval sets the maximum age that the list reaches while the store answers.
+// An outage is assumed only if the list is older than that. Otherwise every list would count
+// as the first after an outage, and each removed backend server would be retained for
+// missingGrace in case its entry is written again.
 func (s *State) SetListRefreshInterval(interval time.Duration) {
 	s.update(func(view *View) bool {
 		view.outageAge = max(interval, minOutageAge)
@@ -81,13 +83,13 @@
 		listed[received[i].ID] = v.newerEntry(v.Backends[received[i].ID], &received[i], now)
 	}
 	missingSince := make(map[string]boottime.Instant)
-	for id, known := range v.Backends {
+	for id, previous := range v.Backends {
 		if listed[id] != nil {
 			continue
 		}
 		if since, retained := v.retainMissing(id, incomplete, now); retained {
 			missingSince[id] = since
-			listed[id] = known
+			listed[id] = previous
 		}
 	}
 	return listed, missingSince
@@ -96,11 +98,11 @@
 // retainMissing reports whether a backend server that is missing stays in the list, and
 // since when it has been missing.
 func (v *View) retainMissing(id string, incomplete bool, now boottime.Instant) (since boottime.Instant, retained bool) {
-	since, known := v.MissingSince[id]
-	if !known && !incomplete {
+	since, wasMissing := v.MissingSince[id]
+	if !wasMissing && !incomplete {
 		return 0, false
 	}
-	if !known {
+	if !wasMissing {
 		since = now
 	}
 	return since, now.Sub(since) < missingGrace
--- a/internal/knowledge/backends.go
+++ b/internal/knowledge/backends.go
@@ -97,6 +97,8 @@
 	return uint32(xxhash.Sum64String(incarnation))
 }
 
+// incarnation returns the name of one run of a backend server, by its id and the time at
+// which it started, 0 if that is unknown.
 func incarnation(id string, born int64) string {
 	if born == 0 {
 		return id
--- a/internal/knowledge/index.go
+++ b/internal/knowledge/index.go
@@ -107,6 +107,7 @@
 	return priorities
 }
 
+// accountPriorities returns the priorities of the accounts that have one of their own.
 func accountPriorities(configuration *Configuration) []int {
 	var priorities []int
 	for _, account := range configuration.Accounts {
--- a/internal/knowledge/knowledge_test.go
+++ b/internal/knowledge/knowledge_test.go
@@ -137,7 +137,7 @@
 	state.SetBackends([]Backend{{ID: "a"}, {ID: "b"}}, Position{Revision: 5}, now.Add(-10*time.Second))
 	state.SetBackends([]Backend{{ID: "a"}}, Position{Revision: 6}, now)
 	view := state.View()
-	if _, absent := view.MissingSince["b"]; !absent || !ids(view)["b"] {
+	if _, missing := view.MissingSince["b"]; !missing || !ids(view)["b"] {
 		t.Fatalf("b was dropped immediately: %v", ids(view))
 	}
 	state.SetBackends([]Backend{{ID: "a"}, {ID: "b"}}, Position{Revision: 7}, now)
--- a/internal/knowledge/list_changes.go
+++ b/internal/knowledge/list_changes.go
@@ -24,7 +24,7 @@
 	}
 	changes := ListChanges{Since: since, UpTo: v.Position}
 	for id, backend := range v.Backends {
-		if _, absent := v.MissingSince[id]; absent {
+		if _, missing := v.MissingSince[id]; missing {
 			changes.Removed = append(changes.Removed, id)
 			continue
 		}
--- a/internal/knowledge/restored_test.go
+++ b/internal/knowledge/restored_test.go
@@ -231,7 +231,7 @@
 	state.SetBackends([]Backend{entryAt("a", Position{1, 85}, 1)}, Position{1, 87}, boottime.Now())
 	state.SetBackends(nil, Position{2, 60}, boottime.Now())
 	view := state.View()
-	if _, absent := view.MissingSince["a"]; !absent || view.Backends["a"] == nil {
+	if _, missing := view.MissingSince["a"]; !missing || view.Backends["a"] == nil {
 		t.Errorf("%v listed, %v missing", view.Backends, view.MissingSince)
 	}
 	if got := view.RetainedFromOlderEra(); !slices.Equal(got, []string{"a"}) {
