--- a/internal/backendconn/conn.go
+++ b/internal/backendconn/conn.go
@@ -57,6 +57,8 @@
 	}
 }
 
+// setUserTimeout makes the kernel close a connection whose data is not acknowledged within
+// userTimeout. It is a net.Dialer.Control function.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var sockoptErr error
 	err := raw.Control(func(fd uintptr) {
--- a/internal/backendconn/exchange.go
+++ b/internal/backendconn/exchange.go
@@ -141,6 +141,7 @@
 	return nil
 }
 
+// encode returns the request as it is sent on the connection.
 func encode(request *Request) []byte {
 	var out bytes.Buffer
 	out.Grow(512 + len(request.Body))
--- a/internal/backendconn/pool.go
+++ b/internal/backendconn/pool.go
@@ -106,10 +106,13 @@
 // anyAddress matches all addresses in closeIdleAt.
 const anyAddress fleet.Address = ""
 
+// closeIdle closes the idle connections that have expired, at all addresses.
 func (p *Pool) closeIdle(expired func(*conn) bool) {
 	p.closeIdleAt(anyAddress, expired, ReasonExpired)
 }
 
+// closeIdleAt closes the idle connections to an address, or to all with anyAddress, for
+// which expired returns true, and records the reason.
 func (p *Pool) closeIdleAt(only fleet.Address, expired func(*conn) bool, reason Reason) {
 	var closing []*conn
 	now := boottime.Now()
@@ -167,6 +170,7 @@
 	return &conn{Conn: connection, reader: bufio.NewReaderSize(connection, readBufferSize)}, nil
 }
 
+// takeIdle removes the connection that became idle last and returns it, nil if there is none.
 func (p *Pool) takeIdle(address fleet.Address) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
