--- a/internal/losses/report.go
+++ b/internal/losses/report.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// tallyRecord is a record of event.GateTally.
+// tallyRecord is a record of event.GateRequestCounts.
 type tallyRecord struct {
 	Routes   map[string]gate.RouteCounts `json:"routes"`
 	Accounts []gate.AccountCounts        `json:"accounts"`
