--- a/internal/peering/aggregate_deltas.go
+++ b/internal/peering/aggregate_deltas.go
@@ -97,6 +97,8 @@
 	return age > minRenumberInterval && len(l.loads)+len(l.usages) > 2*inUse+maxUnusedNumbers
 }
 
+// updateLoads numbers new entries, and records the loads that have changed by more than
+// loadTolerance since they were last sent.
 func (l *aggregateLog) updateLoads(loads map[uint32]gate.BackendLoad, now boottime.Instant) {
 	for backend := range loads {
 		if l.loadOf[backend] == nil {
@@ -112,6 +114,8 @@
 	}
 }
 
+// updateUsages numbers new entries, and records the usages that have changed by more than
+// usageTolerance since they were last sent.
 func (l *aggregateLog) updateUsages(usages map[fleet.Account]shares.Usage, now boottime.Instant) {
 	for account := range usages {
 		if l.usageOf[account] == nil {
@@ -181,6 +185,9 @@
 	return changes
 }
 
+// addLoads adds the loads that have changed since the base. Entries are in order of their
+// numbers, which are sent as differences; a number that the receiver does not know yet is
+// sent together with its incarnation hash.
 func (l *aggregateLog) addLoads(changes *peeringpb.SumChanges, base boottime.Instant) {
 	before := uint32(0)
 	for _, entry := range l.loads {
@@ -199,6 +206,7 @@
 	}
 }
 
+// addUsages is like addLoads for the usages of accounts.
 func (l *aggregateLog) addUsages(changes *peeringpb.SumChanges, base boottime.Instant) {
 	before := uint32(0)
 	for _, entry := range l.usages {
@@ -229,29 +237,30 @@
 
 // apply applies deltas from a heartbeat with the given clock. If they contain an unknown
 // number, the clock is reset so that the sender sends the full aggregate next.
-func (s *aggregate) apply(changes *peeringpb.SumChanges, clock int64, now boottime.Instant) {
+func (a *aggregate) apply(changes *peeringpb.SumChanges, clock int64, now boottime.Instant) {
 	// Decay by the sender's clock, as the previous heartbeat may have been delayed.
-	s.decayUsages(time.Duration(clock - s.clock))
-	s.clock, s.at = clock, now
-	s.zones = lo.Map(changes.Zones, func(zone string, _ int) fleet.Zone { return fleet.Zone(zone) })
-	s.paces = decodePaces(changes.Paces, changes.Slowed, now).orPrevious(s.paces)
+	a.decayUsages(time.Duration(clock - a.clock))
+	a.clock, a.at = clock, now
+	a.zones = lo.Map(changes.Zones, func(zone string, _ int) fleet.Zone { return fleet.Zone(zone) })
+	a.paces = decodePaces(changes.Paces, changes.Slowed, now).orPrevious(a.paces)
 	for i := range min(len(changes.Backend), len(changes.BackendNumber)) {
-		s.backendOf[changes.BackendNumber[i]] = changes.Backend[i]
+		a.backendOf[changes.BackendNumber[i]] = changes.Backend[i]
 	}
 	for i := range min(len(changes.Account), len(changes.AccountNumber)) {
-		s.accountOf[changes.AccountNumber[i]] = fleet.Account(changes.Account[i])
+		a.accountOf[changes.AccountNumber[i]] = fleet.Account(changes.Account[i])
 	}
-	s.applyLoads(changes)
-	s.applyUsages(changes)
+	a.applyLoads(changes)
+	a.applyUsages(changes)
 }
 
-func (s *aggregate) applyLoads(changes *peeringpb.SumChanges) {
+// applyLoads is the reverse of aggregateLog.addLoads.
+func (a *aggregate) applyLoads(changes *peeringpb.SumChanges) {
 	number := uint32(0)
 	for i := range min(len(changes.LoadStep), len(changes.Running), len(changes.Pending), len(changes.Memory)) {
 		number += changes.LoadStep[i]
-		backend, known := s.backendOf[number]
+		backend, known := a.backendOf[number]
 		if !known {
-			s.clock = 0
+			a.clock = 0
 			continue
 		}
 		load := gate.BackendLoad{
@@ -259,34 +268,35 @@
 			Pending: float64(changes.Pending[i]) * tokensPerLoadUnit,
 			Memory:  float64(changes.Memory[i]) * tokensPerLoadUnit,
 		}
-		s.loads[backend] = load
+		a.loads[backend] = load
 		if load == (gate.BackendLoad{}) {
-			delete(s.loads, backend)
+			delete(a.loads, backend)
 		}
 	}
 }
 
 // decayUsages decays usages by the time passed and removes those below minUsageTokens.
-func (s *aggregate) decayUsages(passed time.Duration) {
-	for account, usage := range s.usages {
+func (a *aggregate) decayUsages(passed time.Duration) {
+	for account, usage := range a.usages {
 		usage = usage.Decayed(passed)
-		s.usages[account] = usage
+		a.usages[account] = usage
 		if usage.Requested+usage.Granted+usage.Idle < minUsageTokens {
-			delete(s.usages, account)
+			delete(a.usages, account)
 		}
 	}
 }
 
-func (s *aggregate) applyUsages(changes *peeringpb.SumChanges) {
+// applyUsages is the reverse of aggregateLog.addUsages.
+func (a *aggregate) applyUsages(changes *peeringpb.SumChanges) {
 	number := uint32(0)
 	for i := range min(len(changes.UseStep), len(changes.Asked), len(changes.Got), len(changes.Idle)) {
 		number += changes.UseStep[i]
-		account, known := s.accountOf[number]
+		account, known := a.accountOf[number]
 		if !known {
-			s.clock = 0
+			a.clock = 0
 			continue
 		}
-		s.usages[account] = shares.Usage{
+		a.usages[account] = shares.Usage{
 			Requested: float64(changes.Asked[i]) * tokensPerUsageUnit,
 			Granted:   float64(changes.Got[i]) * tokensPerUsageUnit,
 			Idle:      float64(changes.Idle[i]) * tokensPerUsageUnit,
@@ -381,13 +391,13 @@
 }
 
 // encode returns the aggregate in the form for the receiver.
-func (r receiverState) encode(log *aggregateLog, total usage, zones []fleet.Zone, pacesDue bool) encodedAggregate {
+func (r receiverState) encode(log *aggregateLog, total usage, zones []fleet.Zone, withUsual bool) encodedAggregate {
 	if !r.acceptsDeltas {
-		return encodedAggregate{full: encodeAggregate(total, zones, pacesDue)}
+		return encodedAggregate{full: encodeAggregate(total, zones, withUsual)}
 	}
 	changes := log.deltasSince(r.base)
 	changes.Zones = zoneNames(zones)
-	changes.Paces, changes.Slowed = total.paces.encode(pacesDue, total.at)
+	changes.Paces, changes.Slowed = total.paces.encode(withUsual, total.at)
 	return encodedAggregate{deltas: changes}
 }
 
--- a/internal/peering/aggregates.go
+++ b/internal/peering/aggregates.go
@@ -27,13 +27,13 @@
 // other and expire, so neither state does harm for longer than aggregateTTL.
 
 const (
-	// maxAggregators is the number of routers of a zone that receive the aggregates of
-	// other zones: the aggregator, and a standby that replaces it if its heartbeats stop.
-	maxAggregators = 2
-	// maxMissedTurns is the number of cycles without a heartbeat of a zone's aggregator
+	// maxAggregateReceivers is the number of routers of a zone that receive the aggregates
+	// of other zones: the aggregator, and a standby that replaces it if its heartbeats stop.
+	maxAggregateReceivers = 2
+	// maxMissedCycles is the number of cycles without a heartbeat of a zone's aggregator
 	// after which the next router replaces it. It is more than one, as some heartbeats
 	// get lost.
-	maxMissedTurns = 4
+	maxMissedCycles = 4
 	// aggregateTTL is the time after which an aggregate that has not been replaced no
 	// longer counts.
 	aggregateTTL = 10 * heartbeatInterval
@@ -62,8 +62,9 @@
 }
 
 // add adds a reported usage, decayed to the given time. The usual work times of backend
-// servers, which are many in a large fleet, are added only if usual is set.
-func (u *usage) add(other usage, now boottime.Instant, usual bool) {
+// servers (see pace.Observation), of which there are many in a large fleet, are added only
+// if withUsual is set.
+func (u *usage) add(other usage, now boottime.Instant, withUsual bool) {
 	for backend, load := range other.loads {
 		u.loads[backend] = u.loads[backend].Add(load)
 	}
@@ -71,7 +72,7 @@
 	for account, reported := range other.usages {
 		u.usages[account] = u.usages[account].Add(reported.Decayed(passed))
 	}
-	u.paces.add(other.paces, now, usual)
+	u.paces.add(other.paces, now, withUsual)
 }
 
 func newUsage(now boottime.Instant) usage {
@@ -88,13 +89,16 @@
 	usage
 	zones []fleet.Zone
 
-	// clock is that of the sender's heartbeat up to which deltas are applied, 0 if none
-	// can be applied. backendOf and accountOf resolve the numbers in deltas.
+	// clock is the clock of the sender's heartbeat by which the aggregate was last updated.
+	// Deltas relative to it or to an earlier heartbeat can be applied; if it is 0, none
+	// can, and the sender has to send the aggregate in full.
 	clock     int64
-	backendOf map[uint32]uint32
-	accountOf map[uint32]fleet.Account
+	backendOf map[uint32]uint32        // incarnation hashes by the numbers used in deltas
+	accountOf map[uint32]fleet.Account // by the numbers used in deltas
 }
 
+// decodeAggregate decodes a full aggregate that was received at the given time. It returns
+// nil for nil.
 func decodeAggregate(encoded *peeringpb.Sums, now boottime.Instant) *aggregate {
 	if encoded == nil {
 		return nil
@@ -111,10 +115,11 @@
 	return decoded
 }
 
-// encodeAggregate returns the full aggregate of zones, with the usual work times if due.
-func encodeAggregate(total usage, zones []fleet.Zone, pacesDue bool) *peeringpb.Sums {
+// encodeAggregate returns the full aggregate of zones. withUsual is set to include usual
+// work times.
+func encodeAggregate(total usage, zones []fleet.Zone, withUsual bool) *peeringpb.Sums {
 	encoded := &peeringpb.Sums{Zones: zoneNames(zones), Uses: encodeUsages(total.usages), Loads: encodeLoads(total.loads)}
-	encoded.Paces, encoded.Slowed = total.paces.encode(pacesDue, total.at)
+	encoded.Paces, encoded.Slowed = total.paces.encode(withUsual, total.at)
 	return encoded
 }
 
@@ -137,10 +142,11 @@
 }
 
 // mergeAggregates sums up the aggregates of other zones, newest first and each zone once,
-// and returns the zones that they cover. firstHand leaves out forwarded aggregates: two
-// routers that aggregate one zone at the same time would otherwise forward them to each
-// other forever.
-func (t *table) mergeAggregates(now boottime.Instant, firstHand, usual bool) (usage, []fleet.Zone) {
+// and returns the zones that they cover. excludeForwarded leaves out aggregates of several
+// zones, which another router of this zone has forwarded: two routers that aggregate one
+// zone at the same time would otherwise forward them to each other forever. withUsual is
+// set to include usual work times.
+func (t *table) mergeAggregates(now boottime.Instant, excludeForwarded, withUsual bool) (usage, []fleet.Zone) {
 	fresh := make([]*aggregate, 0, len(t.aggregates))
 	for from, aggregate := range t.aggregates {
 		if age := now.Sub(aggregate.at); age > aggregateTTL {
@@ -149,7 +155,7 @@
 			}
 			continue
 		}
-		if len(aggregate.zones) == 1 || !firstHand {
+		if len(aggregate.zones) == 1 || !excludeForwarded {
 			fresh = append(fresh, aggregate)
 		}
 	}
@@ -160,7 +166,7 @@
 		if len(lo.Intersect(aggregate.zones, covered)) > 0 {
 			continue
 		}
-		total.add(aggregate.usage, now, usual)
+		total.add(aggregate.usage, now, withUsual)
 		covered = append(covered, aggregate.zones...)
 	}
 	return total, covered
@@ -171,9 +177,9 @@
 func (t *table) refreshOtherZones(now boottime.Instant) map[fleet.Account]shares.Usage {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	usual := now.Sub(t.otherZonePaces.usualAt) >= usualMergeInterval
-	total, covered := t.mergeAggregates(now, false, usual)
-	if !usual {
+	withUsual := now.Sub(t.otherZonePaces.usualAt) >= usualMergeInterval
+	total, covered := t.mergeAggregates(now, false, withUsual)
+	if !withUsual {
 		total.paces.usual, total.paces.usualAt = t.otherZonePaces.usual, t.otherZonePaces.usualAt
 	}
 	t.otherZoneLoads, t.otherZonePaces, t.coveredZones = total.loads, total.paces, covered
@@ -181,11 +187,11 @@
 }
 
 // otherZonesUsage returns the usage of other zones to be forwarded within this zone, and
-// the zones that it covers. usual is set to include usual work times.
-func (t *table) otherZonesUsage(now boottime.Instant, usual bool) (usage, []fleet.Zone) {
+// the zones that it covers. withUsual is set to include usual work times.
+func (t *table) otherZonesUsage(now boottime.Instant, withUsual bool) (usage, []fleet.Zone) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.mergeAggregates(now, true, usual)
+	return t.mergeAggregates(now, true, withUsual)
 }
 
 // usagesOf returns the usages last reported by a router. The map must not be modified.
@@ -199,15 +205,15 @@
 }
 
 // aggregateZone sums up the usage of the routers of this zone, including this router's
-// own. usual is set to include usual work times.
-func (t *table) aggregateZone(own usage, now boottime.Instant, usual bool) usage {
+// own. withUsual is set to include usual work times.
+func (t *table) aggregateZone(own usage, now boottime.Instant, withUsual bool) usage {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	total := newUsage(now)
-	total.add(own, now, usual)
+	total.add(own, now, withUsual)
 	for _, peer := range t.peers {
 		if peer.zone == t.zone && t.reachable(peer, now) {
-			total.add(peer.usage, now, usual)
+			total.add(peer.usage, now, withUsual)
 		}
 	}
 	return total
@@ -231,24 +237,24 @@
 func (t *table) isAggregator(now boottime.Instant) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	zone := 0
+	zoneRouters := 0
 	newest := boottime.Instant(0) // newest heartbeat of a router that comes before this one
 	for _, peer := range t.peers {
 		if peer.zone != t.zone || !t.reachable(peer, now) {
 			continue
 		}
-		zone++
+		zoneRouters++
 		if peer.hash < t.hash {
 			newest = max(newest, peer.lastHeartbeat)
 		}
 	}
-	silence := time.Duration(maxMissedTurns*roundsPerCycle(zone, maxZoneHeartbeats)) * heartbeatInterval
-	return newest == 0 || now.Sub(newest) > silence
+	maxSilence := time.Duration(maxMissedCycles*roundsPerCycle(zoneRouters, maxZoneHeartbeats)) * heartbeatInterval
+	return newest == 0 || now.Sub(newest) > maxSilence
 }
 
-// aggregators returns, for each other zone, the reachable routers that receive this
-// zone's aggregate, in order.
-func (t *table) aggregators(now boottime.Instant) map[fleet.Zone][]fleet.Address {
+// aggregateReceivers returns, for each other zone, the reachable routers that receive this
+// zone's aggregate: the one that should be the zone's aggregator, then the standby.
+func (t *table) aggregateReceivers(now boottime.Instant) map[fleet.Zone][]fleet.Address {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	byZone := make(map[fleet.Zone][]fleet.Address)
@@ -259,7 +265,7 @@
 	}
 	for zone, addresses := range byZone {
 		slices.SortFunc(addresses, func(a, b fleet.Address) int { return cmp.Compare(addressHash(a), addressHash(b)) })
-		byZone[zone] = addresses[:min(len(addresses), maxAggregators)]
+		byZone[zone] = addresses[:min(len(addresses), maxAggregateReceivers)]
 	}
 	return byZone
 }
--- a/internal/peering/aggregates_test.go
+++ b/internal/peering/aggregates_test.go
@@ -220,7 +220,7 @@
 			delete(f.locals, address)
 		}
 	}
-	f.run(int(minPeerTimeout/heartbeatInterval) + maxMissedTurns)
+	f.run(int(minPeerTimeout/heartbeatInterval) + maxMissedCycles)
 	f.checkUsage("after the loss of an aggregator")
 }
 
--- a/internal/peering/manager.go
+++ b/internal/peering/manager.go
@@ -135,6 +135,8 @@
 	}
 }
 
+// handleHeartbeat applies a heartbeat received at the given time, and requests newer state
+// from its sender if there is any.
 func (m *Manager) handleHeartbeat(ctx context.Context, heartbeat *peeringpb.Beat, now boottime.Instant) {
 	accepted, joined := m.applyHeartbeat(heartbeat, now)
 	if !accepted {
--- a/internal/peering/paces.go
+++ b/internal/peering/paces.go
@@ -54,9 +54,9 @@
 }
 
 // add adds reported paces, decayed to the given time. Usual work times are added only if
-// usual is set.
-func (p *paces) add(other paces, now boottime.Instant, usual bool) {
-	if passed := now.Sub(other.usualAt); usual && passed < pace.MaxAge {
+// withUsual is set.
+func (p *paces) add(other paces, now boottime.Instant, withUsual bool) {
+	if passed := now.Sub(other.usualAt); withUsual && passed < pace.MaxAge {
 		for server, observation := range other.usual {
 			p.usual[server] = p.usual[server].Merge(observation.Decayed(passed))
 		}
@@ -67,9 +67,9 @@
 }
 
 // orPrevious returns p, with the previous usual work times if p has none.
-func (p paces) orPrevious(before paces) paces {
+func (p paces) orPrevious(previous paces) paces {
 	if p.usual == nil {
-		p.usual, p.usualAt = before.usual, before.usualAt
+		p.usual, p.usualAt = previous.usual, previous.usualAt
 	}
 	return p
 }
@@ -113,14 +113,14 @@
 // pacesDue reports whether heartbeats of a round carry paces, if a cycle through the
 // targets takes the given number of rounds. The router's hash spreads routers that start
 // together over different rounds.
-func (t *table) pacesDue(round, turns int) bool {
-	cycles := max(min(cyclesPerPaces, maxPaceRounds/turns), 1)
-	return (round/turns+int(t.hash%uint64(cycles)))%cycles == 0
+func (t *table) pacesDue(round, roundsOfCycle int) bool {
+	cycles := max(min(cyclesPerPaces, maxPaceRounds/roundsOfCycle), 1)
+	return (round/roundsOfCycle+int(t.hash%uint64(cycles)))%cycles == 0
 }
 
-// encode returns the parts for a heartbeat. Usual work times are included only when due.
-func (p paces) encode(due bool, now boottime.Instant) (*peeringpb.Paces, *peeringpb.Slowed) {
-	if !due {
+// encode returns the parts for a heartbeat. Usual work times are included if withUsual is set.
+func (p paces) encode(withUsual bool, now boottime.Instant) (*peeringpb.Paces, *peeringpb.Slowed) {
+	if !withUsual {
 		return nil, encodeSlowed(p, now)
 	}
 	return encodePaces(p.usual), encodeSlowed(p, now)
@@ -192,6 +192,7 @@
 	return decoded
 }
 
+// decodeUsual decodes usual work times, as many entries as all lists have.
 func decodeUsual(encoded *peeringpb.Paces) map[uint32]pace.Observation {
 	count := min(len(encoded.Backend), len(encoded.Usual), len(encoded.ReadTokens), len(encoded.ReadMs), len(encoded.Streams), len(encoded.Late))
 	usual := make(map[uint32]pace.Observation, count)
--- a/internal/peering/pull.go
+++ b/internal/peering/pull.go
@@ -105,6 +105,7 @@
 	return now.Sub(p.behindSince) >= p.crossZoneDelay
 }
 
+// pull requests the state that is newer than the view from the router, and applies it.
 func (p *puller) pull(ctx context.Context, router fleet.Address, view *knowledge.View) {
 	requestedAt := boottime.Now()
 	known := p.knownPosition(view)
--- a/internal/peering/send.go
+++ b/internal/peering/send.go
@@ -100,14 +100,14 @@
 	for receiver, group := range m.groupByState(local, &m.otherZonesLog) {
 		m.sendHeartbeats(group, common, own, pacesDue, receiver.encode(&m.otherZonesLog, forwarded, covered, pacesDue))
 	}
-	aggregators := m.aggregateTargets(round, now)
+	remoteReceivers := m.aggregateTargets(round, now)
 	remote = targetsOfRound(remote, remoteRound, m.remoteHeartbeatLimit(true))
-	m.sendHeartbeats(lo.Without(remote, aggregators...), common, usage{}, false, encodedAggregate{})
+	m.sendHeartbeats(lo.Without(remote, remoteReceivers...), common, usage{}, false, encodedAggregate{})
 	// In these rounds the standby routers receive the aggregate too.
 	standbyDue := round%standbyRounds == 0
 	total := m.aggregateZone(own, now, standbyDue)
 	m.zoneLog.update(total, now)
-	for receiver, group := range m.groupByState(aggregators, &m.zoneLog) {
+	for receiver, group := range m.groupByState(remoteReceivers, &m.zoneLog) {
 		m.sendHeartbeats(group, common, usage{}, false, receiver.encode(&m.zoneLog, total, []fleet.Zone{m.zone}, standbyDue))
 	}
 }
@@ -129,14 +129,14 @@
 // routers.
 func (m *Manager) aggregateTargets(round int, now boottime.Instant) []fleet.Address {
 	var targets []fleet.Address
-	for zone, aggregators := range m.aggregators(now) {
-		acting := aggregators[0]
+	for zone, receivers := range m.aggregateReceivers(now) {
+		aggregator := receivers[0]
 		if known := m.aggregatorOf(zone, now); known != "" {
-			acting = known
+			aggregator = known
 		}
-		targets = append(targets, acting)
+		targets = append(targets, aggregator)
 		if round%standbyRounds == 0 {
-			targets = append(targets, lo.Without(aggregators, acting)...)
+			targets = append(targets, lo.Without(receivers, aggregator)...)
 		}
 	}
 	return targets
@@ -158,7 +158,7 @@
 
 // sendHeartbeats sends the targets the common part, this router's own usage, with the
 // usual work times if due, and aggregates of zones.
-func (m *Manager) sendHeartbeats(targets []fleet.Address, common *peeringpb.Beat, own usage, pacesDue bool, aggregates encodedAggregate) {
+func (m *Manager) sendHeartbeats(targets []fleet.Address, common *peeringpb.Beat, own usage, withUsual bool, aggregates encodedAggregate) {
 	if len(targets) == 0 {
 		return
 	}
@@ -166,7 +166,7 @@
 	heartbeat.Echoes = m.echoes(targets)
 	heartbeat.Uses = encodeUsages(own.usages)
 	heartbeat.Loads = encodeLoads(own.loads)
-	heartbeat.Paces, heartbeat.Slowed = own.paces.encode(pacesDue, boottime.Instant(common.Clock))
+	heartbeat.Paces, heartbeat.Slowed = own.paces.encode(withUsual, boottime.Instant(common.Clock))
 	heartbeat.Held = m.heldAggregates(targets)
 	heartbeat.Sums, heartbeat.SumChanges = aggregates.full, aggregates.deltas
 	data, err := proto.Marshal(heartbeat)
--- a/internal/peering/serve.go
+++ b/internal/peering/serve.go
@@ -29,7 +29,7 @@
 func (s *server) Pull(_ context.Context, request *peeringpb.PullRequest) (*peeringpb.PullReply, error) {
 	view := s.state.View()
 	if view.Index == nil && view.ListConfirmedAt == 0 {
-		return nil, twirp.NewError(twirp.Unavailable, "no fleet state received yet")
+		return nil, twirp.NewError(twirp.Unavailable, "nothing is known yet")
 	}
 	now := boottime.Now()
 	reply := &peeringpb.PullReply{
@@ -87,19 +87,19 @@
 	if err != nil {
 		return nil, err
 	}
-	s.encoded = nil // the list without absent servers is valid only now
+	s.encoded = nil // the list without missing servers is valid only now
 	if len(view.MissingSince) == 0 {
 		s.position, s.digest, s.encoded = view.Position, view.Digest, encoded
 	}
 	return encoded, nil
 }
 
-// presentBackends returns the backend servers without the absent ones, which are only
+// presentBackends returns the backend servers without the missing ones, which are only
 // kept because they may come back.
 func presentBackends(view *knowledge.View) []knowledge.Backend {
 	backends := make([]knowledge.Backend, 0, len(view.Backends))
 	for id, backend := range view.Backends {
-		if _, absent := view.MissingSince[id]; !absent {
+		if _, missing := view.MissingSince[id]; !missing {
 			backends = append(backends, *backend)
 		}
 	}
--- a/internal/peering/table.go
+++ b/internal/peering/table.go
@@ -15,10 +15,10 @@
 
 const (
 	// A router counts as reachable for minPeerTimeout after its last heartbeat, or for
-	// peerTimeoutTurns of its turns to send if that is longer. These are several turns so
-	// that lost datagrams don't make it unreachable.
-	minPeerTimeout   = 1500 * time.Millisecond
-	peerTimeoutTurns = 4
+	// peerTimeoutCycles cycles in which it sends to all its targets, if that is longer.
+	// These are several cycles so that lost datagrams don't make it unreachable.
+	minPeerTimeout    = 1500 * time.Millisecond
+	peerTimeoutCycles = 4
 	// routerCountTTL is how long the maximum number of routers is kept. A router that
 	// loses contact must not take over the other routers' part of a budget while they
 	// still use it.
@@ -125,14 +125,14 @@
 // peerTimeout returns how long after its last heartbeat a router counts as reachable. It
 // grows with the fleet, in which heartbeats between two routers become less frequent.
 func (t *table) peerTimeout(peer *peer) time.Duration {
-	turns := 1
+	roundsOfCycle := 1
 	switch {
 	case peer.zone == t.zone:
-		turns = roundsPerCycle(t.zoneRouters, maxZoneHeartbeats)
+		roundsOfCycle = roundsPerCycle(t.zoneRouters, maxZoneHeartbeats)
 	case len(t.peers) > smallFleetSize:
-		turns = roundsPerCycle(len(t.peers), maxRemoteHeartbeats)
+		roundsOfCycle = roundsPerCycle(len(t.peers), maxRemoteHeartbeats)
 	}
-	return max(minPeerTimeout, time.Duration(turns*peerTimeoutTurns)*heartbeatInterval)
+	return max(minPeerTimeout, time.Duration(roundsOfCycle*peerTimeoutCycles)*heartbeatInterval)
 }
 
 // reachable reports whether the last heartbeat of a router is recent enough.
@@ -194,6 +194,7 @@
 	return echoes
 }
 
+// addressHash returns the hash by which routers are ordered.
 func addressHash(address fleet.Address) uint64 { return xxhash.Sum64String(string(address)) }
 
 // applyHeartbeat applies a heartbeat. accepted is false if it arrived out of order or
@@ -254,6 +255,7 @@
 	}
 }
 
+// removeUsage removes the usage reported by a router, and its loads from the sums.
 func (t *table) removeUsage(known *peer) {
 	for backend, load := range known.usage.loads {
 		rest := t.loads[backend].Add(gate.BackendLoad{Running: -load.Running, Pending: -load.Pending, Memory: -load.Memory})
--- a/internal/peering/watchers.go
+++ b/internal/peering/watchers.go
@@ -120,4 +120,5 @@
 	return ahead*zones + zonesBefore, zones
 }
 
+// zoneHash returns the hash by which availability zones are ordered.
 func zoneHash(zone fleet.Zone) uint64 { return xxhash.Sum64String(string(zone)) }
