--- a/internal/gate/relay_stream.go
+++ b/internal/gate/relay_stream.go
@@ -42,13 +42,13 @@
 	}
 	buffer := make([]byte, streamBufferBytes)
 	var partial []byte
-	pace := newStreamTiming(r.request)
+	timing := newStreamTiming(r.request)
 	for {
 		n, err := answer.Read(buffer)
 		if n > 0 {
 			now := boottime.Now()
 			h.dataReceived(placed.backend, sent, now)
-			if pace.recordEvent(now) {
+			if timing.recordEvent(now) {
 				h.admission.recordFirstEvent(r.request, placed, now.Sub(sent))
 				h.metrics.firstEvent(now.Sub(r.request.Received))
 			}
@@ -59,9 +59,9 @@
 		}
 		if err == io.EOF {
 			if !h.lag.busy(boottime.Now()) {
-				h.admission.recordStreamEnd(r.request.Service, placed, pace.late)
+				h.admission.recordStreamEnd(r.request.Service, placed, timing.late)
 			}
-			return r.finishStream(placed, answer, partial, pace.late)
+			return r.finishStream(placed, answer, partial, timing.late)
 		}
 		if err == nil && len(partial) > maxEventBytes {
 			err = errEventTooLong
