--- a/internal/knowledge/evacuations.go
+++ b/internal/knowledge/evacuations.go
@@ -95,8 +95,8 @@
 	})
 }
 
-// retainLost keeps zones evacuated for lostEvacuationTTL that a restore of the store has
-// lost.
+// retainLost keeps a zone evacuated for lostEvacuationTTL if a restore of the store has lost
+// its evacuation.
 func (e *Evacuations) retainLost(zones []fleet.Zone, at Position, now boottime.Instant) {
 	retained := maps.Clone(e.retainedUntil)
 	maps.DeleteFunc(retained, func(zone fleet.Zone, until boottime.Instant) bool {
--- a/internal/policy/tier.go
+++ b/internal/policy/tier.go
@@ -49,7 +49,7 @@
 }
 
 // WithinShare reports whether the request is within its account's share.
-func (s AccountUsage) WithinShare() bool { return s.ShareUsed <= 1 }
+func (u AccountUsage) WithinShare() bool { return u.ShareUsed <= 1 }
 
 // ModelRequest is a request to a model, with what determines its tier and bounds.
 type ModelRequest struct {
