--- a/internal/ctl/account.go
+++ b/internal/ctl/account.go
@@ -10,7 +10,7 @@
 	"github.com/bluebellchute/bluebellchute/internal/settings"
 )
 
-// API keys are random, so an unsalted hash doesn't allow to guess them.
+// API keys are random, so they can't be guessed from an unsalted hash.
 const (
 	apiKeyBytes  = 32
 	apiKeyPrefix = "bb_"
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -188,8 +188,8 @@
 	}
 }
 
-// keySource is a source of API keys that begin with the number of edits so far, so that
-// each command's key is known in advance.
+// keySource replaces the random source of API keys: the first byte is the number of edits
+// so far, the others are 0, so that each key is known in advance.
 type keySource struct{ *testEnv }
 
 func (k keySource) Read(p []byte) (int, error) {
--- a/internal/ctl/engines_test.go
+++ b/internal/ctl/engines_test.go
@@ -36,7 +36,7 @@
 		"engines", "--service", "lm", "--output", "json")
 }
 
-// Guards against an empty table that doesn't tell whether no engine reports work times or
+// Guards against an empty table that doesn't show whether no engine reports work times or
 // the service name is wrong.
 func TestNoEnginesAreExplained(t *testing.T) {
 	e := newEngineEnv(t)
--- a/internal/daemon/config.go
+++ b/internal/daemon/config.go
@@ -44,8 +44,8 @@
 	Format string `key:"format" default:"json" oneof:"json|text" doc:"Form of a record."`
 }
 
-// CommonConfig returns the common sections. Every configuration that embeds
-// Common implements NodeConfig by it.
+// CommonConfig returns the common sections. It makes every configuration that
+// embeds Common implement NodeConfig.
 func (c *Common) CommonConfig() *Common { return c }
 
 // NodeConfig is the configuration of a fleet node: a pointer to a struct that
--- a/internal/daemon/readiness.go
+++ b/internal/daemon/readiness.go
@@ -5,7 +5,7 @@
 // startingReason is the reason reported before the first call of SetReady.
 const startingReason = "starting"
 
-// Readiness holds whether the node should receive work. It is safe for
+// Readiness records whether the node should receive work. It is safe for
 // concurrent use.
 type Readiness struct {
 	mu       sync.Mutex
