--- a/internal/losses/explain.go
+++ b/internal/losses/explain.go
@@ -7,47 +7,47 @@
 	"github.com/bluebellchute/bluebellchute/internal/event"
 )
 
-// around is how far from a request's own records those of what its router
-// believed still help.
-const around = 2 * time.Second
+// contextWindow is the largest distance in time between a request's records and
+// the records of its router's state that are shown with them.
+const contextWindow = 2 * time.Second
 
-// beliefs are the records of what a router believes or can reach.
-var beliefs = []event.Event{
+// stateEvents are the events that show a router's view of the fleet and what it
+// can reach.
+var stateEvents = []event.Event{
 	event.GateConfigurationApplied, event.GateBackendsChanged, event.GateReadinessChanged, event.GateStoreUnreachable, event.GateStoreReachable,
 	event.GatePeersReachable, event.GatePeersUnreachable, event.GateStatePulled, event.GateReloaded, event.GateDrainOrdered,
 	event.GateBackendRestarted, event.GateEntryInvalid,
 }
 
-// RequestTrace picks one request's records out of a log, with those around them that
-// tell what its routers believed.
+// RequestTrace collects the records of one request from a log, together with
+// the state records of the same routers at about the same time.
 type RequestTrace struct {
-	request string
-	own     []Record
-	others  []Record
+	request        string
+	requestRecords []Record
+	contextRecords []Record
 }
 
-// NewRequestTrace returns a path that has no records yet.
+// NewRequestTrace returns an empty trace of the request.
 func NewRequestTrace(request string) *RequestTrace { return &RequestTrace{request: request} }
 
-// Add keeps a record that may matter.
-func (p *RequestTrace) Add(record Record) error {
+// Add keeps the record if it belongs to the request or shows a router's state.
+func (t *RequestTrace) Add(record Record) error {
 	switch {
-	case record.Request == p.request:
-		p.own = append(p.own, record)
-	case slices.ContainsFunc(beliefs, func(e event.Event) bool { return e.Number == record.Event }):
-		p.others = append(p.others, record)
+	case record.Request == t.request:
+		t.requestRecords = append(t.requestRecords, record)
+	case slices.ContainsFunc(stateEvents, func(e event.Event) bool { return e.Number == record.Event }):
+		t.contextRecords = append(t.contextRecords, record)
 	}
 	return nil
 }
 
-// Records returns the records in the order of their times. There are none when
-// the request is not in the log: records of single requests are a sample when
-// there are many.
-func (p *RequestTrace) Records() []Record {
-	records := slices.Clone(p.own)
-	for _, other := range p.others {
-		if slices.ContainsFunc(p.own, func(own Record) bool {
-			return own.Node == other.Node && own.Time.Sub(other.Time).Abs() <= around
+// Records returns the records ordered by time. There are none when the request
+// is not in the log: under load, routers log only a sample of the requests.
+func (t *RequestTrace) Records() []Record {
+	records := slices.Clone(t.requestRecords)
+	for _, other := range t.contextRecords {
+		if slices.ContainsFunc(t.requestRecords, func(own Record) bool {
+			return own.Node == other.Node && own.Time.Sub(other.Time).Abs() <= contextWindow
 		}) {
 			records = append(records, other)
 		}
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// log is that of two routers, as it was gathered: with times and names before
-// the records, and lines that are none.
+// log is the collected log of two routers, with a time and a name before each
+// record and with a line that is not a record.
 const log = `  0.5 edge-1 {"event":1001,"msg":"started","node":"edge-1","time":"2026-01-05T10:00:00Z"}
   1.0 edge-1 {"event":2124,"node":"edge-1","time":"2026-01-05T10:00:04Z","capacity":100,"shortage":0.5,"headroom":{"s":0.4},"routes":{"scale":{"in_time":3,"refused":{"over-share":2}}},"accounts":[{"account":"large","asked":900,"served":200},{"account":"small","asked":50,"served":50}]}
 panic: not a record {
@@ -18,35 +18,34 @@
   9.5 edge-1 {"event":2114,"node":"edge-1","time":"2026-01-05T10:00:13Z","kind":"config"}
 `
 
-// read reads a log that is whole.
-func read(t *testing.T, log string, take func(record Record) error) {
+// read reads a log in which every record is valid.
+func read(t *testing.T, log string, handle func(record Record) error) {
 	t.Helper()
-	spoiled, err := Read(strings.NewReader(log), take)
-	if spoiled != 0 || err != nil {
-		t.Fatalf("%d records spoiled, error %v", spoiled, err)
+	invalid, err := Read(strings.NewReader(log), handle)
+	if invalid != 0 || err != nil {
+		t.Fatalf("%d invalid records, error %v", invalid, err)
 	}
 }
 
-// Symptom: nothing is told of a whole day.
-// Events: a router is killed while it writes a record; another writes a record
-// whose counts are of another type.
-// Cause: the log was given up at the first record that could not be read.
-func TestSpoiledRecordsAreLeftOutAndCounted(t *testing.T) {
-	spoiled := `  3.0 edge-1 {"event":2124,"node":"edge-1","rou
+// Guards against a report that ends at the first unreadable record: a router
+// killed while it writes leaves a truncated record, and another version may log
+// counts of another type. The remaining records must still be counted.
+func TestInvalidRecordsAreSkippedAndCounted(t *testing.T) {
+	invalid := `  3.0 edge-1 {"event":2124,"node":"edge-1","rou
   3.1 edge-1 {"event":2124,"node":"edge-1","time":"2026-01-05T10:00:07Z","routes":7}
 `
 	report := NewReport()
-	count, err := Read(strings.NewReader(spoiled+log+spoiled), report.Add)
+	count, err := Read(strings.NewReader(invalid+log+invalid), report.Add)
 	if count != 4 || err != nil {
-		t.Errorf("%d records spoiled, error %v; want 4", count, err)
+		t.Errorf("%d invalid records, error %v; want 4", count, err)
 	}
 	report.Finish()
 	if len(report.Seconds) != 1 || report.Seconds[0].Total() != 9 {
-		t.Errorf("%d seconds; what is whole does not count", len(report.Seconds))
+		t.Errorf("%d seconds; valid records are not counted", len(report.Seconds))
 	}
 }
 
-func TestReportAddsRoutersUp(t *testing.T) {
+func TestReportSumsRouters(t *testing.T) {
 	report := NewReport()
 	read(t, log, report.Add)
 	report.Finish()
@@ -57,8 +56,8 @@
 	if second.InTime != 3 || second.Late != 1 || second.TotalRefused() != 3 || second.Total() != 9 || second.Headroom != 0.4 || second.Shortage != 0.5 {
 		t.Errorf("second %+v", second)
 	}
-	// 400 tokens in a span of four seconds: the small account's 50, the rest is
-	// the large one's.
+	// 400 tokens in four seconds: 50 for the small account, the rest for the
+	// large one.
 	large, small := report.Accounts["large"], report.Accounts["small"]
 	if large.Owed != 350 || large.Missed != 150 || small.Owed != 50 || small.Missed != 0 {
 		t.Errorf("large %+v, small %+v", large, small)
@@ -68,16 +67,16 @@
 	}
 }
 
-func TestPathHasWhatItsRouterBelieved(t *testing.T) {
-	path := NewRequestTrace("r1")
-	read(t, log, path.Add)
-	records := path.Records()
+func TestTraceIncludesRouterState(t *testing.T) {
+	trace := NewRequestTrace("r1")
+	read(t, log, trace.Add)
+	records := trace.Records()
 	if len(records) != 2 || records[0].Event != 2113 || records[0].Node != "edge-1" || records[1].Request != "r1" {
 		t.Errorf("records %+v", records)
 	}
 }
 
-func TestPlotIsAPicture(t *testing.T) {
+func TestPlotIsSVG(t *testing.T) {
 	report := NewReport()
 	later := strings.ReplaceAll(log, "10:00:04Z", "10:00:05Z")
 	read(t, log+later, report.Add)
--- a/internal/losses/plot.go
+++ b/internal/losses/plot.go
@@ -13,11 +13,10 @@
 	plotHeight = 500
 )
 
-// Plot writes the day as a picture in SVG: requests a second by what became of
-// them.
+// Plot writes an SVG chart of requests per second by outcome.
 func (r *Report) Plot(out io.Writer) error {
 	if len(r.Seconds) < 2 {
-		return errors.New("a plot needs two seconds at least")
+		return errors.New("a plot needs at least two seconds of counts")
 	}
 	lines := []struct {
 		name  string
--- a/internal/losses/read.go
+++ b/internal/losses/read.go
@@ -1,5 +1,5 @@
-// Package losses tells from the logs of routers what callers asked, what they
-// were owed and what they got, and what was decided on a single request.
+// Package losses reports from routers' logs what callers requested, what share
+// they were entitled to and what they were served, and traces single requests.
 package losses
 
 import (
@@ -17,35 +17,35 @@
 	Event int       `json:"event"`
 	Time  time.Time `json:"time"`
 	Node  string    `json:"node"`
-	// Request is the id of the request that it is about, "" for none.
+	// Request is the id of the request that the record belongs to, or "".
 	Request string `json:"request"`
 	Raw     json.RawMessage
 }
 
-// lineMost bounds one line of a log.
-const lineMost = 1 << 20
+// maxLineBytes is the maximum length of a log line.
+const maxLineBytes = 1 << 20
 
-// eventMark is in every record, also in one that a kill has cut.
-var eventMark = []byte(`"event":`)
+// eventKey is near the start of every record, so truncated records have it too.
+var eventKey = []byte(`"event":`)
 
-// Read calls take for each record of a log and returns how many could not be read:
-// the end of a log that a kill has cut is one, and take tells of others by an
-// error. They are left out. Whatever stands before a record on its line is passed
-// over, as tools that gather logs put times and names there; lines without a record
-// are passed over as well.
-func Read(log io.Reader, take func(record Record) error) (spoiled int, err error) {
+// Read calls handle for each record of a log and returns the number of invalid
+// records, which it skips: those that are not JSON, such as the last one of a
+// killed process, and those for which handle returns an error. Text before a
+// record on its line is ignored, since log collectors put times and names there.
+// Lines without a record are ignored, too.
+func Read(log io.Reader, handle func(record Record) error) (invalid int, err error) {
 	scanner := bufio.NewScanner(log)
-	scanner.Buffer(make([]byte, 0, bufio.MaxScanTokenSize), lineMost)
+	scanner.Buffer(make([]byte, 0, bufio.MaxScanTokenSize), maxLineBytes)
 	for scanner.Scan() {
 		start := bytes.IndexByte(scanner.Bytes(), '{')
-		if start < 0 || !bytes.Contains(scanner.Bytes(), eventMark) {
+		if start < 0 || !bytes.Contains(scanner.Bytes(), eventKey) {
 			continue
 		}
 		raw := bytes.Clone(scanner.Bytes()[start:])
 		record := Record{Raw: raw}
-		if json.Unmarshal(raw, &record) != nil || take(record) != nil {
-			spoiled++
+		if json.Unmarshal(raw, &record) != nil || handle(record) != nil {
+			invalid++
 		}
 	}
-	return spoiled, errors.WithStack(scanner.Err())
+	return invalid, errors.WithStack(scanner.Err())
 }
--- a/internal/losses/report.go
+++ b/internal/losses/report.go
@@ -15,19 +15,19 @@
 	"github.com/bluebellchute/bluebellchute/internal/shares"
 )
 
-// Counts are what became of requests.
+// Counts are numbers of requests by outcome.
 type Counts struct {
 	InTime       int                 `json:"in_time"`
 	Late         int                 `json:"late"`
 	Failed       int                 `json:"failed"`
-	Disconnected int                 `json:"left"` // callers that left
+	Disconnected int                 `json:"left"`
 	Refused      map[gate.Reason]int `json:"refused,omitempty"`
 }
 
 // Total returns the number of requests.
 func (c *Counts) Total() int { return c.InTime + c.Late + c.Failed + c.Disconnected + c.TotalRefused() }
 
-// TotalRefused returns the refusals of all reasons.
+// TotalRefused returns the number of refusals over all reasons.
 func (c *Counts) TotalRefused() int {
 	all := 0
 	for _, count := range c.Refused {
@@ -36,12 +36,12 @@
 	return all
 }
 
-func (c *Counts) add(tally gate.RouteCounts) {
-	c.InTime += tally.InTime
-	c.Late += tally.Late
-	c.Failed += tally.Failed
-	c.Disconnected += tally.Disconnected
-	for reason, count := range tally.Refused {
+func (c *Counts) add(counts gate.RouteCounts) {
+	c.InTime += counts.InTime
+	c.Late += counts.Late
+	c.Failed += counts.Failed
+	c.Disconnected += counts.Disconnected
+	for reason, count := range counts.Refused {
 		if c.Refused == nil {
 			c.Refused = make(map[gate.Reason]int)
 		}
@@ -49,54 +49,56 @@
 	}
 }
 
-// Tokens are what was asked, owed and served, prompt tokens once and generated
-// ones twice. A caller that is refused and returns asks twice.
+// Tokens are an account's requested, owed and served tokens. Prompt tokens
+// count once and generated ones twice. A request that is refused and retried
+// counts as asked each time.
 type Tokens struct {
 	Asked  float64 `json:"asked"`
-	Owed   float64 `json:"owed"` // max-min share of the stated capacity
+	Owed   float64 `json:"owed"` // max-min fair share of the stated capacity
 	Served float64 `json:"served"`
-	// Missed is what was owed and not served, span by span.
+	// Missed is what was owed and not served, summed over the share windows.
 	Missed float64 `json:"missed"`
 }
 
-// Second is what happened in one second at all routers.
+// Second holds the counts of all routers in one second.
 type Second struct {
 	At time.Time `json:"at"`
 	Counts
 	Asked, Served float64
-	// Shortage is the greatest part of the stated capacity that the engines
-	// lacked, and Headroom the least part of the budgets in use, at any router.
+	// Shortage is the largest fraction of the stated capacity that engines
+	// lacked at any router, and Headroom the smallest fraction of the budgets
+	// that any router used.
 	Shortage float64 `json:"shortage"`
 	Headroom float64 `json:"headroom"`
 }
 
-// Report is what the logs of all routers tell together.
+// Report sums up the logs of all routers.
 type Report struct {
 	Seconds  []*Second                 `json:"seconds"`
 	Routes   map[string]*Counts        `json:"routes"`
 	Accounts map[fleet.Account]*Tokens `json:"accounts"`
-	Capacity float64                   `json:"capacity"` // stated, tokens a second
+	Capacity float64                   `json:"capacity"` // stated, tokens per second
 
-	bySecond map[int64]*Second
-	spans    map[int64]map[fleet.Account]*Tokens
+	bySecond     map[int64]*Second
+	shareWindows map[int64]map[fleet.Account]*Tokens
 }
 
-// span is the time over which shares are told, in seconds: as long as accounts
-// may have to wait for theirs.
-const span = 4
+// shareWindowSeconds is the time over which fair shares are computed. Accounts
+// may have to wait as long as this for their share.
+const shareWindowSeconds = 4
 
 // NewReport returns an empty report.
 func NewReport() *Report {
 	return &Report{
-		Routes:   make(map[string]*Counts),
-		Accounts: make(map[fleet.Account]*Tokens),
-		bySecond: make(map[int64]*Second),
-		spans:    make(map[int64]map[fleet.Account]*Tokens),
+		Routes:       make(map[string]*Counts),
+		Accounts:     make(map[fleet.Account]*Tokens),
+		bySecond:     make(map[int64]*Second),
+		shareWindows: make(map[int64]map[fleet.Account]*Tokens),
 	}
 }
 
-// tallyRecord is a record of event.GateRequestCounts.
-type tallyRecord struct {
+// countsRecord is a record of event.GateRequestCounts.
+type countsRecord struct {
 	Routes   map[string]gate.RouteCounts `json:"routes"`
 	Accounts []gate.AccountCounts        `json:"accounts"`
 	Capacity float64                     `json:"capacity"`
@@ -104,22 +106,22 @@
 	Headroom map[string]float64          `json:"headroom"`
 }
 
-// Add adds a record up. Others than counts are passed over.
+// Add adds the record's counts to the report. It ignores records of other events.
 func (r *Report) Add(record Record) error {
 	if record.Event != event.GateRequestCounts.Number {
 		return nil
 	}
-	var tally tallyRecord
-	if err := json.Unmarshal(record.Raw, &tally); err != nil {
+	var logged countsRecord
+	if err := json.Unmarshal(record.Raw, &logged); err != nil {
 		return errors.WithStack(err)
 	}
-	r.Capacity = max(r.Capacity, tally.Capacity)
+	r.Capacity = max(r.Capacity, logged.Capacity)
 	second := r.second(record.Time)
-	second.Shortage = max(second.Shortage, tally.Shortage)
-	for _, headroom := range tally.Headroom {
+	second.Shortage = max(second.Shortage, logged.Shortage)
+	for _, headroom := range logged.Headroom {
 		second.Headroom = min(second.Headroom, headroom)
 	}
-	for name, counts := range tally.Routes {
+	for name, counts := range logged.Routes {
 		second.add(counts)
 		route := r.Routes[name]
 		if route == nil {
@@ -128,8 +130,8 @@
 		}
 		route.add(counts)
 	}
-	accounts := r.span(record.Time)
-	for _, account := range tally.Accounts {
+	accounts := r.shareWindow(record.Time)
+	for _, account := range logged.Accounts {
 		second.Asked += float64(account.Requested)
 		second.Served += float64(account.Served)
 		tokens := accounts[account.Account]
@@ -152,34 +154,34 @@
 	return known
 }
 
-func (r *Report) span(at time.Time) map[fleet.Account]*Tokens {
-	place := at.Unix() / span
-	if r.spans[place] == nil {
-		r.spans[place] = make(map[fleet.Account]*Tokens)
+func (r *Report) shareWindow(at time.Time) map[fleet.Account]*Tokens {
+	index := at.Unix() / shareWindowSeconds
+	if r.shareWindows[index] == nil {
+		r.shareWindows[index] = make(map[fleet.Account]*Tokens)
 	}
-	return r.spans[place]
+	return r.shareWindows[index]
 }
 
-// Finish works out what was owed, once all records are taken.
+// Finish computes the fair shares after all records were added.
 func (r *Report) Finish() {
 	r.Seconds = slices.SortedFunc(maps.Values(r.bySecond), func(a, b *Second) int { return cmp.Compare(a.At.Unix(), b.At.Unix()) })
-	for _, accounts := range r.spans {
+	for _, accounts := range r.shareWindows {
 		asked := make([]float64, 0, len(accounts))
 		for _, tokens := range accounts {
 			asked = append(asked, tokens.Asked)
 		}
-		level := shares.MaxMinShare(asked, r.Capacity*span)
+		fairShare := shares.MaxMinShare(asked, r.Capacity*shareWindowSeconds)
 		for name, tokens := range accounts {
-			owed := min(tokens.Asked, level)
-			whole := r.Accounts[name]
-			if whole == nil {
-				whole = &Tokens{}
-				r.Accounts[name] = whole
+			owed := min(tokens.Asked, fairShare)
+			total := r.Accounts[name]
+			if total == nil {
+				total = &Tokens{}
+				r.Accounts[name] = total
 			}
-			whole.Asked += tokens.Asked
-			whole.Owed += owed
-			whole.Served += tokens.Served
-			whole.Missed += max(owed-tokens.Served, 0)
+			total.Asked += tokens.Asked
+			total.Owed += owed
+			total.Served += tokens.Served
+			total.Missed += max(owed-tokens.Served, 0)
 		}
 	}
 }
