--- a/internal/lab/deployment.go
+++ b/internal/lab/deployment.go
@@ -8,33 +8,35 @@
 	"github.com/bluebellchute/bluebellchute/internal/emulator"
 )
 
-// Kind is a kind of request for a model.
+// Kind describes a class of model requests.
 type Kind struct {
-	Share   float64       // of all requests
-	Shared  int           // prompt tokens that requests share
-	Parts   int           // different shared parts
-	Own     float64       // mean of the prompt tokens that are its own
-	Output  int           // tokens to be generated
-	Target  time.Duration // to the first event
-	Gap     time.Duration // longest pause between events in time
-	Timeout time.Duration // from the first try
+	Share         float64       // fraction of all requests
+	SharedTokens  int           // length of the shared prompt segment
+	SharedPrompts int           // number of different shared segments
+	MeanOwnTokens float64       // mean length of the segment that no other request shares
+	OutputTokens  int           // generated tokens
+	TargetLatency time.Duration // target time to the first event
+	TargetGap     time.Duration // target time between events
+	Timeout       time.Duration // from the first attempt
 }
 
-// Deployment is a fleet with its load.
+// Deployment describes a fleet and its load.
 type Deployment struct {
-	Routers   int
-	Engines   int
-	Engine    emulator.Config
-	Stated    float64 // capacity that the operator states, tokens a second
-	Kinds     []Kind
-	Accounts  []float64 // parts of the requests by account
-	PerSecond float64   // requests of all accounts
+	Routers           int
+	Engines           int
+	Engine            emulator.Config
+	StatedCapacity    float64 // tokens per second, as configured by the operator
+	Kinds             []Kind
+	AccountWeights    []float64 // relative request rate of each account
+	RequestsPerSecond float64   // of all accounts
 }
 
-// cost returns what a mean request counts of the capacity, in tokens.
-func (k Kind) cost() float64 { return float64(k.Shared) + k.Own + 2*float64(k.Output) }
+// cost returns how many tokens of the capacity a mean request uses.
+func (k Kind) cost() float64 {
+	return float64(k.SharedTokens) + k.MeanOwnTokens + 2*float64(k.OutputTokens)
+}
 
-// meanCost returns the mean over the kinds.
+// meanCost returns the mean cost over the kinds.
 func (d *Deployment) meanCost() float64 {
 	sum := 0.0
 	for _, kind := range d.Kinds {
@@ -43,60 +45,61 @@
 	return sum
 }
 
-// Bounds of what is drawn.
+// Bounds of random deployments.
 const (
-	slotsLeast, slotsMost     = 8, 256
-	readLeast, readMost       = 20, 200 // prompt tokens a millisecond
-	stepLeast, stepMost       = 2, 20   // milliseconds
-	enginesLeast, enginesMost = 2, 24
-	routersMost               = 12
-	targetLeast, targetMost   = 100, 5000 // milliseconds
-	promptLeast, promptMost   = 200, 12_000
-	outputLeast, outputMost   = 10, 400
-	// statedLeast and statedMost are the stated capacity in parts of what the
-	// engines read.
-	statedLeast, statedMost = 0.3, 2
-	// loadLeast and loadMost are what is asked in parts of the stated capacity.
-	loadLeast, loadMost = 0.6, 4
-	// requestsMost bounds the requests of a second, so that a run stays short.
-	requestsMost = 500
+	minSlots, maxSlots               = 8, 256
+	minPrefillPerMS, maxPrefillPerMS = 20, 200 // prompt tokens per millisecond
+	minStepMS, maxStepMS             = 2, 20   // milliseconds
+	minEngines, maxEngines           = 2, 24
+	maxRouters                       = 12
+	minTargetMS, maxTargetMS         = 100, 5000 // milliseconds
+	minPromptTokens, maxPromptTokens = 200, 12_000
+	minOutputTokens, maxOutputTokens = 10, 400
+	// minStatedRatio and maxStatedRatio bound the stated capacity as a multiple
+	// of half the engines' total prefill rate.
+	minStatedRatio, maxStatedRatio = 0.3, 2
+	// minLoadRatio and maxLoadRatio bound the load as a multiple of the stated
+	// capacity.
+	minLoadRatio, maxLoadRatio = 0.6, 4
+	// maxRequestsPerSecond keeps the run time of a simulation short.
+	maxRequestsPerSecond = 500
 )
 
-// Draw returns a deployment by the seed: fleets and loads of very different
-// shapes.
-func Draw(seed uint64) Deployment {
+// RandomDeployment returns a random deployment for the seed. Fleets and loads
+// differ widely.
+func RandomDeployment(seed uint64) Deployment {
 	random := rand.New(rand.NewPCG(seed, 2))
-	even := func(least, most float64) float64 { return least * math.Exp(random.Float64()*math.Log(most/least)) }
-	whole := func(least, most float64) int { return int(math.Round(even(least, most))) }
-	d := Deployment{Routers: whole(1, routersMost), Engines: whole(enginesLeast, enginesMost)}
+	logUniform := func(low, high float64) float64 { return low * math.Exp(random.Float64()*math.Log(high/low)) }
+	logUniformInt := func(low, high float64) int { return int(math.Round(logUniform(low, high))) }
+	d := Deployment{Routers: logUniformInt(1, maxRouters), Engines: logUniformInt(minEngines, maxEngines)}
 	d.Engine = emulator.Config{
-		Slots:              whole(slotsLeast, slotsMost),
-		Step:               time.Duration(even(stepLeast, stepMost) * float64(time.Millisecond)),
+		Slots:              logUniformInt(minSlots, maxSlots),
+		Step:               time.Duration(logUniform(minStepMS, maxStepMS) * float64(time.Millisecond)),
 		StepPerRequest:     50 * time.Microsecond,
-		PrefillTokensPerMS: even(readLeast, readMost),
+		PrefillTokensPerMS: logUniform(minPrefillPerMS, maxPrefillPerMS),
 		PrefillChunk:       2048,
-		MemoryTokens:       whole(100_000, 600_000),
-		TokensPerEvent:     whole(1, 8),
+		MemoryTokens:       logUniformInt(100_000, 600_000),
+		TokensPerEvent:     logUniformInt(1, 8),
 	}
 	for range 1 + random.IntN(3) {
 		kind := Kind{
-			Share:  0.2 + random.Float64(),
-			Shared: whole(promptLeast, promptMost) - promptLeast,
-			Parts:  whole(4, 400),
-			Own:    even(promptLeast, promptMost/2),
-			Output: whole(outputLeast, outputMost),
-			Target: time.Duration(even(targetLeast, targetMost)) * time.Millisecond,
-			Gap:    300 * time.Millisecond,
+			Share:         0.2 + random.Float64(),
+			SharedTokens:  logUniformInt(minPromptTokens, maxPromptTokens) - minPromptTokens,
+			SharedPrompts: logUniformInt(4, 400),
+			MeanOwnTokens: logUniform(minPromptTokens, maxPromptTokens/2),
+			OutputTokens:  logUniformInt(minOutputTokens, maxOutputTokens),
+			TargetLatency: time.Duration(logUniform(minTargetMS, maxTargetMS)) * time.Millisecond,
+			TargetGap:     300 * time.Millisecond,
 		}
-		kind.Timeout = max(3*time.Second, 3*kind.Target)
+		kind.Timeout = max(3*time.Second, 3*kind.TargetLatency)
 		d.Kinds = append(d.Kinds, kind)
 	}
 	normalise(d.Kinds)
-	d.Stated = even(statedLeast, statedMost) * float64(d.Engines) * d.Engine.PrefillTokensPerMS * 1000 / 2
-	for range whole(2, 40) {
-		d.Accounts = append(d.Accounts, even(0.05, 5))
+	d.StatedCapacity = logUniform(minStatedRatio, maxStatedRatio) * float64(d.Engines) * d.Engine.PrefillTokensPerMS * 1000 / 2
+	for range logUniformInt(2, 40) {
+		d.AccountWeights = append(d.AccountWeights, logUniform(0.05, 5))
 	}
-	d.PerSecond = min(even(loadLeast, loadMost)*d.Stated/d.meanCost(), requestsMost)
+	d.RequestsPerSecond = min(logUniform(minLoadRatio, maxLoadRatio)*d.StatedCapacity/d.meanCost(), maxRequestsPerSecond)
 	return d
 }
 
--- a/internal/lab/doc.go
+++ b/internal/lab/doc.go
@@ -1,8 +1,8 @@
-// Package lab plays a fleet in simulated time with the product's own decisions:
-// tiers and bounds, shares, choice of an engine, time to come back. Routers know
-// of each other what beats brought last; engines are those of package emulator;
-// callers that are refused come back once, when they were told to.
+// Package lab simulates a fleet with the production code for tiers and bounds,
+// shares, the choice of an engine and Retry-After. Simulated routers know each
+// other's load as of the last heartbeats, engines are those of package emulator,
+// and refused callers retry once after the time that they were given.
 //
-// It serves to compare policies over many drawn deployments. It leaves out
-// connections, the routers' own processors, faults and what callers are worth.
+// It serves to compare policies over many random deployments. It does not model
+// connections, the routers' CPU time, faults or the value of a request to its caller.
 package lab
--- a/internal/lab/fleet.go
+++ b/internal/lab/fleet.go
@@ -14,103 +14,104 @@
 )
 
 const (
-	// beatInterval is the pause between two beats of a router.
-	beatInterval = 100 * time.Millisecond
-	// begin is where simulated clocks start, as 0 stands for never.
-	begin = boottime.Instant(time.Hour)
-	// homeShare is the part of an account's callers that come to one router.
-	homeShare = 0.6
+	heartbeatInterval = 100 * time.Millisecond
+	// startInstant is the simulated start time; an Instant of 0 means never.
+	startInstant = boottime.Instant(time.Hour)
+	// preferredRouterShare is the fraction of an account's callers that connect
+	// to the same router.
+	preferredRouterShare = 0.6
 )
 
-// load is what a router has at an engine.
-type load struct {
+// engineLoad is the load that requests of one or more routers put on an engine.
+type engineLoad struct {
 	running         int
 	pending, memory float64
 }
 
-func (l load) add(other load) load {
-	return load{running: l.running + other.running, pending: l.pending + other.pending, memory: l.memory + other.memory}
+func (l engineLoad) add(other engineLoad) engineLoad {
+	return engineLoad{running: l.running + other.running, pending: l.pending + other.pending, memory: l.memory + other.memory}
 }
 
-// router decides by what it knows.
+// router is the state of a simulated router.
 type router struct {
 	ledger   *shares.Ledger
 	headroom policy.Headroom
 	rate     policy.ReadRate
-	own      []load // by engine
-	others   []load // sum over the other routers, as of their last beats
-	told     []load // as of this router's last beat
+	own      []engineLoad // by engine
+	others   []engineLoad // sum over the other routers, as of their last heartbeats
+	reported []engineLoad // own as of this router's last heartbeat
 }
 
-// fleetRun is one run.
-type fleetRun struct {
-	deployment Deployment
-	settings   policy.Settings
-	random     *rand.Rand
-	now        boottime.Instant
-	agenda     agenda
-	routers    []*router
-	engines    []*emulator.Engine
-	stepping   []bool
-	emitted    []func() // events of the step that is made
-	hashes     []uint64 // of the engines' ids
-	tightest   time.Duration
-	until      boottime.Instant
-	result     *Result
+// simulation is the state of one run.
+type simulation struct {
+	deployment     Deployment
+	settings       policy.Settings
+	random         *rand.Rand
+	now            boottime.Instant
+	queue          eventQueue
+	routers        []*router
+	engines        []*emulator.Engine
+	stepping       []bool
+	stepEvents     []func() // events of the engine step in progress
+	engineHashes   []uint64 // of the engine ids
+	shortestTarget time.Duration
+	end            boottime.Instant
+	result         *Result
 }
 
-// happening is something that happens at a moment.
-type happening struct {
+// scheduledEvent is a function that runs at a simulated time.
+type scheduledEvent struct {
 	at  boottime.Instant
 	run func()
 }
 
-// agenda is a heap of what is to happen.
-type agenda []happening
+// eventQueue is a heap of future events, ordered by time.
+type eventQueue []scheduledEvent
 
-func (a agenda) Len() int           { return len(a) }
-func (a agenda) Less(i, j int) bool { return a[i].at < a[j].at }
-func (a agenda) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *agenda) Push(x any)        { *a = append(*a, x.(happening)) }
-func (a *agenda) Pop() any {
+func (a eventQueue) Len() int           { return len(a) }
+func (a eventQueue) Less(i, j int) bool { return a[i].at < a[j].at }
+func (a eventQueue) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
+func (a *eventQueue) Push(x any)        { *a = append(*a, x.(scheduledEvent)) }
+func (a *eventQueue) Pop() any {
 	last := (*a)[len(*a)-1]
 	*a = (*a)[:len(*a)-1]
 	return last
 }
 
-func (r *fleetRun) after(d time.Duration, run func()) {
-	heap.Push(&r.agenda, happening{at: r.now.Add(d), run: run})
+func (r *simulation) schedule(d time.Duration, run func()) {
+	heap.Push(&r.queue, scheduledEvent{at: r.now.Add(d), run: run})
 }
 
-// Run plays the deployment for so long under the settings.
+// Run simulates the deployment under the settings. Callers arrive for the given
+// length of simulated time.
 func Run(deployment Deployment, settings policy.Settings, seed uint64, length time.Duration) Result {
-	r := &fleetRun{
+	r := &simulation{
 		deployment: deployment,
 		settings:   settings,
 		random:     rand.New(rand.NewPCG(seed, 3)),
-		now:        begin,
-		until:      begin.Add(length),
+		now:        startInstant,
+		end:        startInstant.Add(length),
 		stepping:   make([]bool, deployment.Engines),
 		result:     newResult(deployment, length),
 	}
 	for i := range deployment.Engines {
 		r.engines = append(r.engines, emulator.NewEngine(deployment.Engine))
-		r.hashes = append(r.hashes, r.random.Uint64()+uint64(i))
+		r.engineHashes = append(r.engineHashes, r.random.Uint64()+uint64(i))
 	}
 	for range deployment.Routers {
 		r.routers = append(r.routers, newRouter(deployment.Engines, settings))
 	}
 	for _, kind := range deployment.Kinds {
-		if r.tightest == 0 || kind.Target < r.tightest {
-			r.tightest = kind.Target
+		if r.shortestTarget == 0 || kind.TargetLatency < r.shortestTarget {
+			r.shortestTarget = kind.TargetLatency
 		}
 	}
 	for i := range r.routers {
-		r.after(beatInterval*time.Duration(i)/time.Duration(len(r.routers)), func() { r.beat(i) })
+		r.schedule(heartbeatInterval*time.Duration(i)/time.Duration(len(r.routers)), func() { r.sendHeartbeat(i) })
 	}
-	r.after(0, r.arrive)
-	for len(r.agenda) > 0 {
-		next := heap.Pop(&r.agenda).(happening)
+	r.schedule(0, r.handleArrival)
+	for len(r.queue) > 0 {
+		next := heap.Pop(&r.queue).(scheduledEvent)
 		r.now = next.at
 		next.run()
 	}
@@ -121,58 +122,58 @@
 func newRouter(engines int, settings policy.Settings) *router {
 	ledger := shares.NewLedger()
 	ledger.ObserveCapacity = settings.ObservedCapacity
-	return &router{ledger: ledger, own: make([]load, engines), others: make([]load, engines), told: make([]load, engines)}
+	return &router{ledger: ledger, own: make([]engineLoad, engines), others: make([]engineLoad, engines), reported: make([]engineLoad, engines)}
 }
 
-// beat tells the other routers what one has.
-func (r *fleetRun) beat(index int) {
+// sendHeartbeat reports a router's usage and load to the other routers.
+func (r *simulation) sendHeartbeat(index int) {
 	sender := r.routers[index]
-	uses := sender.ledger.Own(r.now)
+	usages := sender.ledger.Own(r.now)
 	for i, other := range r.routers {
 		if i == index {
 			continue
 		}
-		other.ledger.SetOther(string(rune('a'+index)), uses, r.now)
+		other.ledger.SetOther(string(rune('a'+index)), usages, r.now)
 		for engine, now := range sender.own {
-			before := sender.told[engine]
-			other.others[engine] = other.others[engine].add(now).add(load{running: -before.running, pending: -before.pending, memory: -before.memory})
+			before := sender.reported[engine]
+			other.others[engine] = other.others[engine].add(now).add(engineLoad{running: -before.running, pending: -before.pending, memory: -before.memory})
 		}
 	}
-	copy(sender.told, sender.own)
-	if r.now < r.until {
-		r.after(beatInterval, func() { r.beat(index) })
+	copy(sender.reported, sender.own)
+	if r.now < r.end {
+		r.schedule(heartbeatInterval, func() { r.sendHeartbeat(index) })
 	}
 }
 
-// arrive lets a caller come, and the next one.
-func (r *fleetRun) arrive() {
-	if r.now >= r.until {
+// handleArrival routes a new caller's request and schedules the next arrival.
+func (r *simulation) handleArrival() {
+	if r.now >= r.end {
 		return
 	}
-	r.decide(r.draw())
-	r.after(time.Duration(r.random.ExpFloat64()/r.deployment.PerSecond*float64(time.Second)), r.arrive)
+	r.route(r.newCaller())
+	r.schedule(time.Duration(r.random.ExpFloat64()/r.deployment.RequestsPerSecond*float64(time.Second)), r.handleArrival)
 }
 
-// decide places a caller's request or refuses it, as a router does.
-func (r *fleetRun) decide(c *caller) {
-	router := r.routers[r.routerOf(c)]
+// route sends a caller's request to an engine or refuses it, as a router does.
+func (r *simulation) route(c *caller) {
+	router := r.routers[r.chooseRouter(c)]
 	router.ledger.AddRequested(c.account, c.cost, r.now)
-	facts := policy.ModelRequest{
-		Usage:          r.standing(router, c),
-		Target:         c.kind.Target,
-		ShortestTarget: r.tightest,
+	request := policy.ModelRequest{
+		Usage:          r.accountUsage(router, c),
+		Target:         c.kind.TargetLatency,
+		ShortestTarget: r.shortestTarget,
 		Headroom:       router.headroom.Value(r.settings.LeastHeadroom),
 	}
-	tier := r.settings.Tier(facts, r.random.Float64())
-	if !r.settings.TierOpen(tier, facts.Usage) {
+	tier := r.settings.Tier(request, r.random.Float64())
+	if !r.settings.TierOpen(tier, request.Usage) {
 		r.refuse(c)
 		return
 	}
-	bounds := r.settings.Bounds(tier, facts)
-	ranked := selection.Rank(r.hashes, func(hash uint64) uint64 { return hash }, c.key, bounds.MaxEngines)
-	demand := selection.Demand{SharedTokens: float64(c.kind.Shared), OwnTokens: c.own, OutputTokens: float64(c.kind.Output), Budget: bounds.Budget, CountOwnPrompt: bounds.CountOwnPrompt}
+	bounds := r.settings.Bounds(tier, request)
+	ranked := selection.Rank(r.engineHashes, func(hash uint64) uint64 { return hash }, c.sharedHash, bounds.MaxEngines)
+	demand := selection.Demand{SharedTokens: float64(c.kind.SharedTokens), OwnTokens: c.ownTokens, OutputTokens: float64(c.kind.OutputTokens), Budget: bounds.Budget, CountOwnPrompt: bounds.CountOwnPrompt}
 	choice := selection.ChooseEngine(len(ranked), r.candidates(router, ranked), demand, selection.Limits{
-		Rate:          router.rate.Estimate(r.deployment.Stated / float64(r.deployment.Engines)),
+		Rate:          router.rate.Estimate(r.deployment.StatedCapacity / float64(r.deployment.Engines)),
 		SlotShare:     bounds.SlotShare,
 		MemoryShare:   bounds.MemoryShare,
 		SecondPenalty: r.settings.SecondPenalty,
@@ -186,62 +187,64 @@
 	} else {
 		router.ledger.AddGranted(c.account, c.cost, r.now)
 	}
-	r.send(c, router, ranked[choice.Place], load{running: 1, pending: choice.PromptTokens, memory: float64(c.kind.Shared) + c.own + float64(c.kind.Output)})
+	r.send(c, router, ranked[choice.Place], engineLoad{running: 1, pending: choice.PromptTokens, memory: float64(c.kind.SharedTokens) + c.ownTokens + float64(c.kind.OutputTokens)})
 }
 
-func (r *fleetRun) standing(router *router, c *caller) policy.AccountUsage {
+func (r *simulation) accountUsage(router *router, c *caller) policy.AccountUsage {
 	return policy.AccountUsage{
-		ShareUsed:     router.ledger.ShareUsed(c.account, c.cost, r.deployment.Stated, r.now),
+		ShareUsed:     router.ledger.ShareUsed(c.account, c.cost, r.deployment.StatedCapacity, r.now),
 		EvenShareUsed: router.ledger.EvenShareUsed(c.account, c.cost, r.now),
 		Shortage:      router.ledger.Shortage(),
 	}
 }
 
-// candidates returns a look at the engines by their place in a key's order.
-func (r *fleetRun) candidates(router *router, ranked []int) func(place int) selection.Engine {
+// candidates returns a function that gives the load of the engine at a place in
+// the ranking.
+func (r *simulation) candidates(router *router, ranked []int) func(place int) selection.Engine {
 	return func(place int) selection.Engine {
-		all := router.own[ranked[place]].add(router.others[ranked[place]])
+		total := router.own[ranked[place]].add(router.others[ranked[place]])
 		return selection.Engine{
-			Running: all.running, Slots: r.deployment.Engine.Slots,
-			Pending: all.pending, Memory: all.memory, MemoryCapacity: float64(r.deployment.Engine.MemoryTokens),
+			Running: total.running, Slots: r.deployment.Engine.Slots,
+			Pending: total.pending, Memory: total.memory, MemoryCapacity: float64(r.deployment.Engine.MemoryTokens),
 		}
 	}
 }
 
-// refuse lets a caller come back once, when it was told to.
-func (r *fleetRun) refuse(c *caller) {
-	wait := r.settings.RetryAfter(c.kind.Target)
-	if c.returned || r.now.Add(wait) > c.came.Add(c.kind.Timeout) {
-		r.result.refused(c)
+// refuse retries the request once after the Retry-After time, unless the caller
+// times out before.
+func (r *simulation) refuse(c *caller) {
+	wait := r.settings.RetryAfter(c.kind.TargetLatency)
+	if c.retried || r.now.Add(wait) > c.arrivedAt.Add(c.kind.Timeout) {
+		r.result.recordRefusal(c)
 		return
 	}
-	c.returned = true
-	r.after(wait, func() { r.decide(c) })
+	c.retried = true
+	r.schedule(wait, func() { r.route(c) })
 }
 
-// send runs a request at an engine.
-func (r *fleetRun) send(c *caller, router *router, index int, entered load) {
+// send starts a request on an engine.
+func (r *simulation) send(c *caller, router *router, index int, added engineLoad) {
 	sent := r.now
-	pending := router.own[index].add(router.others[index]).pending + entered.pending
-	router.own[index] = router.own[index].add(entered)
-	var last boottime.Instant
+	pending := router.own[index].add(router.others[index]).pending + added.pending
+	router.own[index] = router.own[index].add(added)
+	var lastEvent boottime.Instant
 	late := false
-	request := &emulator.Request{Segments: c.parts, OutputTokens: c.kind.Output}
-	request.OnEvent = func(number int, whole bool) {
-		r.emitted = append(r.emitted, func() {
+	request := &emulator.Request{Segments: c.segments, OutputTokens: c.kind.OutputTokens}
+	request.OnEvent = func(number int, last bool) {
+		r.stepEvents = append(r.stepEvents, func() {
 			if number == 1 {
-				router.own[index].pending -= entered.pending
+				router.own[index].pending -= added.pending
 				router.rate.Observe(pending, r.now.Sub(sent))
-				late = r.now.Sub(c.came) > c.kind.Target
+				late = r.now.Sub(c.arrivedAt) > c.kind.TargetLatency
 			} else {
-				late = late || r.now.Sub(last) > c.kind.Gap
+				late = late || r.now.Sub(lastEvent) > c.kind.TargetGap
 			}
-			last = r.now
-			if whole {
+			lastEvent = r.now
+			if last {
 				router.own[index].running--
-				router.own[index].memory -= entered.memory
+				router.own[index].memory -= added.memory
 				router.headroom.Observe(late)
-				r.result.answered(c, late)
+				r.result.recordAnswer(c, late)
 			}
 		})
 	}
@@ -251,33 +254,33 @@
 	}
 }
 
-// step makes one step of an engine; its events happen at its end.
-func (r *fleetRun) step(index int) {
-	r.emitted = nil
+// step runs one step of an engine; the step's events happen at its end.
+func (r *simulation) step(index int) {
+	r.stepEvents = nil
 	took := r.engines[index].Step()
 	r.stepping[index] = took > 0
 	if took == 0 {
 		return
 	}
-	emitted := r.emitted
-	r.after(took, func() {
-		for _, event := range emitted {
+	events := r.stepEvents
+	r.schedule(took, func() {
+		for _, event := range events {
 			event()
 		}
 		r.step(index)
 	})
 }
 
-// routerOf returns the router that a caller comes to: most callers of an account
-// come to the same one.
-func (r *fleetRun) routerOf(c *caller) int {
-	if r.random.Float64() < homeShare {
-		return c.home % r.deployment.Routers
+// chooseRouter returns the index of the router that a caller connects to. Most
+// callers of an account connect to the same one.
+func (r *simulation) chooseRouter(c *caller) int {
+	if r.random.Float64() < preferredRouterShare {
+		return c.preferredRouter % r.deployment.Routers
 	}
 	return r.random.IntN(r.deployment.Routers)
 }
 
-// accountName names an account by its place.
-func accountName(place int) fleet.Account {
-	return fleet.Account("account-" + string(rune('a'+place%26)) + string(rune('a'+place/26)))
+// accountName returns the name of the account with the index.
+func accountName(index int) fleet.Account {
+	return fleet.Account("account-" + string(rune('a'+index%26)) + string(rune('a'+index/26)))
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -9,57 +9,56 @@
 	"github.com/bluebellchute/bluebellchute/internal/policy"
 )
 
-const length = 8 * time.Second
+const simulatedTime = 8 * time.Second
 
-// flooded is a fleet whose largest account asks for several times what the
-// operator states, beside small ones, before engines that can do more.
-func flooded() Deployment {
+// overloadedDeployment returns a fleet in which the largest account requests
+// several times the stated capacity, beside small accounts. The engines can
+// serve more than the stated capacity.
+func overloadedDeployment() Deployment {
 	engine := emulator.DefaultConfig()
 	engine.PrefillTokensPerMS = 90
 	return Deployment{
-		Routers: 3, Engines: 6, Engine: engine, Stated: 150_000, PerSecond: 220,
+		Routers: 3, Engines: 6, Engine: engine, StatedCapacity: 150_000, RequestsPerSecond: 220,
 		Kinds: []Kind{
-			{Share: 0.4, Shared: 2000, Parts: 40, Own: 1500, Output: 50, Target: 500 * time.Millisecond, Gap: 300 * time.Millisecond, Timeout: 5 * time.Second},
-			{Share: 0.6, Shared: 300, Parts: 40, Own: 400, Output: 100, Target: time.Second, Gap: 300 * time.Millisecond, Timeout: 9 * time.Second},
+			{Share: 0.4, SharedTokens: 2000, SharedPrompts: 40, MeanOwnTokens: 1500, OutputTokens: 50, TargetLatency: 500 * time.Millisecond, TargetGap: 300 * time.Millisecond, Timeout: 5 * time.Second},
+			{Share: 0.6, SharedTokens: 300, SharedPrompts: 40, MeanOwnTokens: 400, OutputTokens: 100, TargetLatency: time.Second, TargetGap: 300 * time.Millisecond, Timeout: 9 * time.Second},
 		},
-		Accounts: []float64{10, 2, 0.5, 0.5, 0.5},
+		AccountWeights: []float64{10, 2, 0.5, 0.5, 0.5},
 	}
 }
 
-// Symptom: callers are refused while engines stand idle.
-// Events: an account asks for several times its share; the engines can do more
-// than the operator states.
-// Cause: nothing beyond the shares was sent.
+// Guards against refusals while engines are idle: an account requests several
+// times its share, the engines can serve more than the stated capacity, and
+// nothing beyond the shares is sent.
 func TestIdleEnginesServeWhatIsBeyondTheShares(t *testing.T) {
 	with := policy.Defaults()
 	without := with
 	without.IdleSlots = 0
-	all, shares := Run(flooded(), with, 1, length), Run(flooded(), without, 1, length)
+	all, shares := Run(overloadedDeployment(), with, 1, simulatedTime), Run(overloadedDeployment(), without, 1, simulatedTime)
 	t.Logf("with the idle tier %+v, without %+v", all, shares)
 	if float64(all.InTime) < 1.2*float64(shares.InTime) {
 		t.Errorf("%d in time with the idle tier, %d without", all.InTime, shares.InTime)
 	}
 	if all.Worst < shares.Worst-0.1 {
-		t.Errorf("the worst account gets %.2f of what it is owed, %.2f without", all.Worst, shares.Worst)
+		t.Errorf("the worst account gets %.2f of its fair share, %.2f without", all.Worst, shares.Worst)
 	}
 }
 
-// Symptom: engines stand idle while accounts that have had little are refused.
-// Events: accounts ask for several times the stated capacity in long and short
-// prompts; the long ones don't fit into the little that the idle tier may have ahead.
-// Cause: the bounds of the idle tier were as narrow for accounts that had had little
-// as for those that had had most.
+// Guards against idle engines while accounts that were served little are
+// refused. Under overload with long and short prompts, the long ones don't fit
+// within the idle tier's narrow bounds, so these bounds must be wider for
+// accounts that were served little than for those that were served most.
 func TestAccountsThatHadLittleFindRoom(t *testing.T) {
 	wide := policy.Defaults()
 	narrow := wide
 	narrow.IdleWide, narrow.IdleWideSlots, narrow.IdleMost = narrow.IdleShare, narrow.IdleSlots, 1
 	inTime, before := 0, 0
 	for seed := range uint64(6) {
-		after, narrowly := Run(flooded(), wide, seed, length), Run(flooded(), narrow, seed, length)
+		after, narrowly := Run(overloadedDeployment(), wide, seed, simulatedTime), Run(overloadedDeployment(), narrow, seed, simulatedTime)
 		t.Logf("wide %+v, narrow %+v", after, narrowly)
 		inTime, before = inTime+after.InTime, before+narrowly.InTime
 		if after.Worst < narrowly.Worst-0.1 {
-			t.Errorf("the worst account gets %.2f of what it is owed, %.2f with narrow bounds", after.Worst, narrowly.Worst)
+			t.Errorf("the worst account gets %.2f of its fair share, %.2f with narrow bounds", after.Worst, narrowly.Worst)
 		}
 	}
 	if float64(inTime) < 1.05*float64(before) {
@@ -67,47 +66,47 @@
 	}
 }
 
-// Symptom: nearly every answer is late.
-// Events: engines do two fifths of what the operator states.
-// Cause: as much was let in as ever.
-func TestSlowEnginesServeWhatTheyCanInTime(t *testing.T) {
-	slow := flooded()
+// Guards against late answers throughout when engines serve only two fifths of
+// the stated capacity and the router admits as much as before.
+func TestAdmissionAdaptsToSlowEngines(t *testing.T) {
+	slow := overloadedDeployment()
 	slow.Engine.PrefillTokensPerMS, slow.Engine.Step = 20, 8*time.Millisecond
-	slow.Stated, slow.PerSecond = 400_000, 300
+	slow.StatedCapacity, slow.RequestsPerSecond = 400_000, 300
 	with := policy.Defaults()
 	without := with
 	without.LeastHeadroom, without.ObservedCapacity = 1, false
-	adapted, stated := Run(slow, with, 1, length), Run(slow, without, 1, length)
+	adapted, stated := Run(slow, with, 1, simulatedTime), Run(slow, without, 1, simulatedTime)
 	t.Logf("adapted %+v, as stated %+v", adapted, stated)
 	if float64(adapted.InTime) < 1.15*float64(stated.InTime) {
 		t.Errorf("%d in time, %d by the stated capacity", adapted.InTime, stated.InTime)
 	}
 	if adapted.Worst < stated.Worst-0.05 {
-		t.Errorf("the worst account gets %.2f of what it is owed, %.2f by the stated capacity", adapted.Worst, stated.Worst)
+		t.Errorf("the worst account gets %.2f of its fair share, %.2f by the stated capacity", adapted.Worst, stated.Worst)
 	}
 }
 
-// The same seed gives the same run, so that policies differ by themselves only.
-func TestRunsRepeat(t *testing.T) {
-	a, b := Run(Draw(5), policy.Defaults(), 1, length/2), Run(Draw(5), policy.Defaults(), 1, length/2)
+// Runs with the same seed must be equal, so that a comparison of policies shows
+// nothing but the policies.
+func TestRunsAreDeterministic(t *testing.T) {
+	a, b := Run(RandomDeployment(5), policy.Defaults(), 1, simulatedTime/2), Run(RandomDeployment(5), policy.Defaults(), 1, simulatedTime/2)
 	if a.InTime != b.InTime || a.Worst != b.Worst {
 		t.Errorf("%+v and %+v", a, b)
 	}
 }
 
-// Every caller ends in one way.
-func TestNobodyIsLost(t *testing.T) {
+// Every caller must be answered in time, answered late or refused.
+func TestEveryCallerHasOneOutcome(t *testing.T) {
 	for seed := range uint64(10) {
-		r := Run(Draw(seed), policy.Defaults(), seed, 3*time.Second)
-		if r.InTime+r.Late+r.Refused != r.Asked {
+		r := Run(RandomDeployment(seed), policy.Defaults(), seed, 3*time.Second)
+		if r.InTime+r.Late+r.Refused != r.Requested {
 			t.Errorf("deployment %d: %+v", seed, r)
 		}
 	}
 }
 
-// The settings that tests and the lab take for granted are those of a gate whose
-// file says nothing.
-func TestDefaultsAreThoseOfTheFile(t *testing.T) {
+// policy.Defaults, which tests use, must match the settings of a router whose
+// file sets nothing.
+func TestDefaultsMatchTheINIDefaults(t *testing.T) {
 	var config Config
 	if err := inifile.Parse("test", []byte("[policy.plain]\n"), &config); err != nil {
 		t.Fatal(err)
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -7,23 +7,23 @@
 	"github.com/bluebellchute/bluebellchute/internal/shares"
 )
 
-// Result is what callers got in a run.
+// Result holds the outcomes of a run's callers.
 type Result struct {
-	Asked, InTime, Late, Refused int
-	TokensInTime                 float64
-	// Worst is the least part of what an account was owed that it got in time.
-	// What it is owed is its max-min share of the stated capacity, or of what
-	// was served in time where that is less.
+	Requested, InTime, Late, Refused int
+	TokensInTime                     float64
+	// Worst is the smallest fraction of its fair share that an account was
+	// served in time. The fair share is the max-min fair share of the stated
+	// capacity or, if less, of what was served in time.
 	Worst float64
 
-	capacity float64 // tokens in the whole run
+	capacity float64 // tokens over the run
 	accounts map[fleet.Account]*accountResult
 }
 
-type accountResult struct{ asked, inTime float64 }
+type accountResult struct{ requested, inTime float64 }
 
 func newResult(deployment Deployment, length time.Duration) *Result {
-	return &Result{capacity: deployment.Stated * length.Seconds(), accounts: make(map[fleet.Account]*accountResult)}
+	return &Result{capacity: deployment.StatedCapacity * length.Seconds(), accounts: make(map[fleet.Account]*accountResult)}
 }
 
 func (r *Result) account(name fleet.Account) *accountResult {
@@ -33,14 +33,14 @@
 	return r.accounts[name]
 }
 
-func (r *Result) asked(c *caller) {
-	r.Asked++
-	r.account(c.account).asked += c.cost
+func (r *Result) recordRequest(c *caller) {
+	r.Requested++
+	r.account(c.account).requested += c.cost
 }
 
-func (r *Result) refused(*caller) { r.Refused++ }
+func (r *Result) recordRefusal(*caller) { r.Refused++ }
 
-func (r *Result) answered(c *caller, late bool) {
+func (r *Result) recordAnswer(c *caller, late bool) {
 	if late {
 		r.Late++
 		return
@@ -50,22 +50,22 @@
 	r.account(c.account).inTime += c.cost
 }
 
-// seldom is the part of an even share below which an account's outcome is
-// chance.
-const seldom = 0.2
+// minOwedFraction is the fraction of an even share below which an account sends
+// too few requests for its outcome to be significant.
+const minOwedFraction = 0.2
 
-// finish works out the worst account.
+// finish computes Worst.
 func (r *Result) finish() {
-	asked := make([]float64, 0, len(r.accounts))
+	requested := make([]float64, 0, len(r.accounts))
 	for _, account := range r.accounts {
-		asked = append(asked, account.asked)
+		requested = append(requested, account.requested)
 	}
-	divided := min(r.capacity, r.TokensInTime)
-	level := shares.MaxMinShare(asked, divided)
+	served := min(r.capacity, r.TokensInTime)
+	maxMinShare := shares.MaxMinShare(requested, served)
 	r.Worst = 1
 	for _, account := range r.accounts {
-		owed := min(account.asked, level)
-		if owed < seldom*divided/float64(len(r.accounts)) {
+		owed := min(account.requested, maxMinShare)
+		if owed < minOwedFraction*served/float64(len(r.accounts)) {
 			continue
 		}
 		r.Worst = min(r.Worst, account.inTime/owed)
