--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -1,7 +1,7 @@
-// Package emulator models a model engine: continuous batching, prompts read in
-// chunks between the generated tokens, and a limited memory that keeps prompt
-// parts. It knows no clock: its owner tells it when, so it serves a stand-in in
-// real time and a model of a fleet in simulated time alike.
+// Package emulator models a model engine: continuous batching, chunked prefill
+// between the generated tokens, and a limited memory that caches prompt segments.
+// It has no clock. The caller drives each step, so that the emulator serves both
+// a stand-in in real time and a simulated fleet.
 package emulator
 
 import (
@@ -11,15 +11,15 @@
 // Config describes an engine.
 type Config struct {
 	Slots              int           // requests that run at once
-	Step               time.Duration // time of one step with nothing to read
+	Step               time.Duration // time of a step without prefill
 	StepPerRequest     time.Duration // added for each running request
-	PrefillTokensPerMS float64       // prompt tokens read in a millisecond
-	PrefillChunk       int           // most prompt tokens read in one step
-	MemoryTokens       int           // tokens that running requests and kept parts share
-	TokensPerEvent     int           // generated tokens in one event
+	PrefillTokensPerMS float64       // prefill rate, in prompt tokens
+	PrefillChunk       int           // maximum number of prompt tokens prefilled in a step
+	MemoryTokens       int           // shared by running requests and the segment cache
+	TokensPerEvent     int           // generated tokens per event
 }
 
-// DefaultConfig is an engine about as large as the first users'.
+// DefaultConfig returns the configuration of an engine of about the size that users run.
 func DefaultConfig() Config {
 	return Config{
 		Slots:              64,
@@ -38,137 +38,139 @@
 	Tokens int
 }
 
-// Request is a request at an engine.
+// Request is a request for an engine.
 type Request struct {
 	Segments     []Segment
-	OutputTokens int // tokens to be generated
-	// OnEvent is called at each event with its number, from 1; last tells the
-	// end. It must not call the engine.
+	OutputTokens int // tokens to generate
+	// OnEvent is called for each event with its number, from 1, and whether it
+	// is the last one. It must not call the engine.
 	OnEvent func(number int, last bool)
 
-	unread    int // prompt tokens still to be read
-	held      int // tokens that it holds in memory by itself
-	generated int
-	events    int
-	cancelled bool
+	promptRemaining int // prompt tokens not prefilled yet
+	heldTokens      int // memory in use, without the segment cache
+	generated       int
+	events          int
+	cancelled       bool
 }
 
-// tokens returns the memory that the request takes.
-func (r *Request) tokens() int {
+// totalTokens returns the memory, in tokens, that the request needs.
+func (r *Request) totalTokens() int {
 	total := r.OutputTokens
-	for _, part := range r.Segments {
-		total += part.Tokens
+	for _, segment := range r.Segments {
+		total += segment.Tokens
 	}
 	return total
 }
 
-// Cancel takes the request out at the engine's next step.
+// Cancel removes the request at the engine's next step.
 func (r *Request) Cancel() { r.cancelled = true }
 
 // Engine is a model engine. It is not safe for concurrent use.
 type Engine struct {
-	config  Config
-	waiting []*Request // in the order of arrival
-	running []*Request
-	memory  int // tokens of the running requests
-	kept    *keptParts
-
-	// PrefilledTokens counts the prompt tokens read so far, Kept those that were kept.
+	config     Config
+	waiting    []*Request // in order of arrival
+	running    []*Request
+	usedTokens int // tokens of the running requests
+	cache      *segmentCache
+
+	// PrefilledTokens and CachedTokens count the prompt tokens so far that were
+	// prefilled and that were found in the cache.
 	PrefilledTokens, CachedTokens int
 }
 
 // NewEngine returns an idle engine.
 func NewEngine(config Config) *Engine {
-	return &Engine{config: config, kept: newKeptParts()}
+	return &Engine{config: config, cache: newSegmentCache()}
 }
 
 // Add queues a request.
 func (e *Engine) Add(request *Request) { e.waiting = append(e.waiting, request) }
 
-// Load returns the running and the waiting requests.
+// Load returns the numbers of running and waiting requests.
 func (e *Engine) Load() (running, waiting int) { return len(e.running), len(e.waiting) }
 
-// Step makes one step and returns how long it takes, 0 if there is nothing to
-// do. Events happen at its end.
+// Step runs one step and returns its duration, or 0 if there is nothing to do.
+// It calls OnEvent immediately, although the events happen at the step's end.
 func (e *Engine) Step() time.Duration {
 	e.dropCancelled()
 	e.admit()
 	if len(e.running) == 0 {
 		return 0
 	}
-	read := e.read()
+	read := e.prefill()
 	took := e.config.Step + time.Duration(len(e.running))*e.config.StepPerRequest
 	took += time.Duration(float64(read) / e.config.PrefillTokensPerMS * float64(time.Millisecond))
 	e.generate()
 	return took
 }
 
-// admit starts waiting requests in their order, while slots and memory last.
+// admit starts waiting requests in order, as far as slots and memory allow.
 func (e *Engine) admit() {
 	for len(e.waiting) > 0 && len(e.running) < e.config.Slots {
 		next := e.waiting[0]
-		if len(e.running) > 0 && e.memory+next.tokens() > e.config.MemoryTokens {
+		if len(e.running) > 0 && e.usedTokens+next.totalTokens() > e.config.MemoryTokens {
 			return
 		}
 		e.waiting = e.waiting[1:]
-		next.held = next.tokens()
-		e.memory += next.held
-		found := e.kept.find(next.Segments)
+		next.heldTokens = next.totalTokens()
+		e.usedTokens += next.heldTokens
+		found := e.cache.lookup(next.Segments)
 		e.CachedTokens += found
-		for _, part := range next.Segments {
-			next.unread += part.Tokens
+		for _, segment := range next.Segments {
+			next.promptRemaining += segment.Tokens
 		}
-		next.unread -= found
+		next.promptRemaining -= found
 		e.running = append(e.running, next)
-		e.kept.shrink(e.config.MemoryTokens - e.memory)
+		e.cache.evictTo(e.config.MemoryTokens - e.usedTokens)
 	}
 }
 
-// read reads a chunk of the prompt that came first and returns its tokens.
-func (e *Engine) read() int {
+// prefill processes a chunk of the oldest unfinished prompt and returns the
+// number of tokens.
+func (e *Engine) prefill() int {
 	for _, request := range e.running {
-		if request.unread == 0 {
+		if request.promptRemaining == 0 {
 			continue
 		}
-		chunk := min(request.unread, e.config.PrefillChunk)
-		request.unread -= chunk
+		chunk := min(request.promptRemaining, e.config.PrefillChunk)
+		request.promptRemaining -= chunk
 		e.PrefilledTokens += chunk
-		if request.unread == 0 {
-			e.keep(request)
+		if request.promptRemaining == 0 {
+			e.cachePrompt(request)
 		}
 		return chunk
 	}
 	return 0
 }
 
-// keep lets the prompt that has been read count as kept from now on. That its
-// parts may yield while the request still runs makes the model simpler than an
-// engine, which keeps them until then.
-func (e *Engine) keep(request *Request) {
-	e.memory -= request.held - request.OutputTokens
-	request.held = request.OutputTokens
-	e.kept.keep(request.Segments)
-	e.kept.shrink(e.config.MemoryTokens - e.memory)
+// cachePrompt moves the memory of a completed prompt from the request to the
+// segment cache. This simplifies the model: its segments may be evicted while the
+// request runs, but a real engine retains them until the request ends.
+func (e *Engine) cachePrompt(request *Request) {
+	e.usedTokens -= request.heldTokens - request.OutputTokens
+	request.heldTokens = request.OutputTokens
+	e.cache.add(request.Segments)
+	e.cache.evictTo(e.config.MemoryTokens - e.usedTokens)
 }
 
-// generate makes one token for each request whose prompt has been read.
+// generate produces one token for each request whose prompt is complete.
 func (e *Engine) generate() {
-	left := e.running[:0]
+	remaining := e.running[:0]
 	for _, request := range e.running {
-		if request.unread > 0 || !request.generate(e.config.TokensPerEvent) {
-			left = append(left, request)
+		if request.promptRemaining > 0 || !request.generate(e.config.TokensPerEvent) {
+			remaining = append(remaining, request)
 			continue
 		}
-		e.memory -= request.held
+		e.usedTokens -= request.heldTokens
 	}
-	e.running = left
+	e.running = remaining
 }
 
-// generate makes one token and returns whether it was the last.
+// generate produces one token and reports whether it was the last.
 func (r *Request) generate(eventTokens int) bool {
 	r.generated++
 	last := r.generated >= r.OutputTokens
-	// The first token is told at once, later ones in groups.
+	// The first token is sent immediately, later ones in groups.
 	if last || r.generated == 1 || r.generated%eventTokens == 0 {
 		r.events++
 		r.OnEvent(r.events, last)
@@ -178,17 +180,17 @@
 
 func (e *Engine) dropCancelled() {
 	e.waiting = dropCancelled(e.waiting, func(*Request) {})
-	e.running = dropCancelled(e.running, func(r *Request) { e.memory -= r.held })
+	e.running = dropCancelled(e.running, func(r *Request) { e.usedTokens -= r.heldTokens })
 }
 
 func dropCancelled(requests []*Request, dropped func(*Request)) []*Request {
-	left := requests[:0]
+	remaining := requests[:0]
 	for _, request := range requests {
 		if request.cancelled {
 			dropped(request)
 			continue
 		}
-		left = append(left, request)
+		remaining = append(remaining, request)
 	}
-	return left
+	return remaining
 }
--- a/internal/emulator/engine_test.go
+++ b/internal/emulator/engine_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// finish steps the engine until it is idle and returns the time taken.
+// finish steps the engine until it is idle and returns the total duration.
 func finish(e *Engine) time.Duration {
 	total := time.Duration(0)
 	for {
@@ -45,13 +45,13 @@
 			})
 		}
 		finish(e)
-		if ended != count || e.memory != 0 {
-			t.Fatalf("%d of %d ended, %d tokens are left in memory", ended, count, e.memory)
+		if ended != count || e.usedTokens != 0 {
+			t.Fatalf("%d of %d ended, %d tokens still in memory", ended, count, e.usedTokens)
 		}
 	})
 }
 
-func TestKeptPartIsNotReadAgain(t *testing.T) {
+func TestCachedSegmentIsNotPrefilledAgain(t *testing.T) {
 	e := NewEngine(DefaultConfig())
 	shared := Segment{ID: "shared", Tokens: 5000}
 	for _, own := range []string{"a", "b"} {
@@ -59,12 +59,13 @@
 		finish(e)
 	}
 	if e.PrefilledTokens != 5200 || e.CachedTokens != 5000 {
-		t.Errorf("%d tokens read, %d kept", e.PrefilledTokens, e.CachedTokens)
+		t.Errorf("%d tokens prefilled, %d cached", e.PrefilledTokens, e.CachedTokens)
 	}
 }
 
-// Two requests that come before the part is read both have it read.
-func TestPartIsReadTwiceWhenRequestsOverlap(t *testing.T) {
+// A segment is cached only once its prompt is complete, so a second request that
+// arrives before that prefills it again.
+func TestOverlappingRequestsBothPrefillASegment(t *testing.T) {
 	e := NewEngine(DefaultConfig())
 	shared := Segment{ID: "shared", Tokens: 5000}
 	for _, own := range []string{"a", "b"} {
@@ -72,11 +73,11 @@
 	}
 	finish(e)
 	if e.PrefilledTokens != 10_200 {
-		t.Errorf("%d tokens read", e.PrefilledTokens)
+		t.Errorf("%d tokens prefilled", e.PrefilledTokens)
 	}
 }
 
-func TestLeastRecentlyUsedPartsYield(t *testing.T) {
+func TestLeastRecentlyUsedSegmentsAreEvicted(t *testing.T) {
 	config := DefaultConfig()
 	config.MemoryTokens = 10_000
 	e := NewEngine(config)
@@ -85,11 +86,11 @@
 		finish(e)
 	}
 	if e.PrefilledTokens != 12_000 || e.CachedTokens != 8000 {
-		t.Errorf("%d tokens read, %d kept", e.PrefilledTokens, e.CachedTokens)
+		t.Errorf("%d tokens prefilled, %d cached", e.PrefilledTokens, e.CachedTokens)
 	}
 }
 
-func TestCancelledRequestFreesItsPlace(t *testing.T) {
+func TestCancelledRequestFreesItsSlot(t *testing.T) {
 	config := DefaultConfig()
 	config.Slots = 1
 	e := NewEngine(config)
@@ -100,8 +101,8 @@
 	e.Add(&Request{Segments: prompt(10), OutputTokens: 1, OnEvent: func(_ int, last bool) { ended = last }})
 	first.Cancel()
 	finish(e)
-	if !ended || e.memory != 0 {
-		t.Errorf("the next request ended: %t; %d tokens in memory", ended, e.memory)
+	if !ended || e.usedTokens != 0 {
+		t.Errorf("the next request ended: %t; %d tokens in memory", ended, e.usedTokens)
 	}
 }
 
