--- a/internal/engine/cache.go
+++ b/internal/engine/cache.go
@@ -8,18 +8,18 @@
 
 // Sizes of the prefix cache.
 const (
-	bytesPerToken = 4  // of prompt text
-	blockTokens   = 32 // the unit that is kept or dropped
+	bytesPerToken = 4  // of the prompt
+	blockTokens   = 32 // the unit of caching and eviction
 )
 
-// prefixCache remembers which prompt prefixes the engine has worked out, in
-// blocks, within a limited number of tokens. The least recently used go first.
+// prefixCache records which prompt prefixes the engine has processed, in blocks
+// and within a limited number of tokens. It evicts the least recently used blocks.
 type prefixCache struct {
 	capacity int // blocks
 	order    *list.List
 	blocks   map[uint64]*list.Element
 	hits     uint64 // tokens found
-	misses   uint64 // tokens worked out
+	misses   uint64 // tokens processed
 }
 
 func newPrefixCache(tokens int) *prefixCache {
@@ -30,9 +30,9 @@
 	}
 }
 
-// take returns the number of tokens of the prompt that were cached and caches
-// the rest. A block counts only when all blocks before it do.
-func (c *prefixCache) take(prompt string) (cached int) {
+// lookupAndAdd returns how many tokens of the prompt were cached and caches the
+// rest. A block counts as cached only if all blocks before it do.
+func (c *prefixCache) lookupAndAdd(prompt string) (cached int) {
 	const blockBytes = blockTokens * bytesPerToken
 	var digest xxhash.Digest
 	digest.Reset()
@@ -50,7 +50,8 @@
 	return cached
 }
 
-// touch reports whether the block is cached, and makes it the latest used.
+// touch reports whether the block is cached and marks it as the most recently
+// used, adding it if necessary.
 func (c *prefixCache) touch(key uint64) bool {
 	if element, ok := c.blocks[key]; ok {
 		c.order.MoveToFront(element)
@@ -65,7 +66,7 @@
 	return false
 }
 
-// promptTokens is the number of tokens of a prompt, at least one.
+// promptTokens returns the number of tokens of a prompt, at least one.
 func promptTokens(prompt string) int {
 	return max(1, len(prompt)/bytesPerToken)
 }
--- a/internal/engine/config.go
+++ b/internal/engine/config.go
@@ -1,8 +1,8 @@
 // Package engine is a stand-in for a backend server in tests and measurements.
-// As a model engine it batches continuously: every step yields one token for
-// each running request. As a plain service it works for a time that the call
-// names. It keeps a ledger of every run, so that a test can tell whether a
-// request ran twice.
+// As a model engine it uses continuous batching: every step generates one token
+// for each running request. As a plain service it works for the time that the
+// call requests. It records every run in a ledger, from which tests find out
+// whether a request ran twice.
 package engine
 
 import "time"
@@ -20,26 +20,25 @@
 	DefaultDowntime      = time.Second
 )
 
-// Config says how a stand-in behaves. Zero fields take the defaults.
+// Config sets the behaviour of an engine. Zero fields take the defaults.
 type Config struct {
 	Name          string        // service name in answers
 	Plain         bool          // a plain service instead of a model engine
 	Slots         int           // requests that run at full speed
 	Step          time.Duration // time of a step with at most Slots requests
-	PrefillTokens int           // prompt tokens that one step takes in for a request
+	PrefillTokens int           // prompt tokens of a request prefilled per step
 	CacheTokens   int           // size of the prefix cache
-	MedianTokens  int           // of the log-normal answer length
-	Work          time.Duration // of a plain call that names none
+	MedianTokens  int           // median of the log-normal answer length
+	Work          time.Duration // work time of a plain call without X-Work-Ms
 	LoadInterval  time.Duration // between two refreshes of the load report
 	Retention     time.Duration // how long a finished stream can be resumed
-	PermitCrash   bool          // a request marked with x_crash brings the engine down
-	Downtime      time.Duration // after a crash when OnCrash is nil
-	// OnCrash is called in place of the simulated downtime; standin-engine
-	// ends its process with it.
+	PermitCrash   bool          // whether a request with x_crash crashes the engine
+	Downtime      time.Duration // after a simulated crash
+	// OnCrash replaces the simulated crash; standin-engine exits in it.
 	OnCrash func()
 }
 
-// withDefaults fills the zero fields.
+// withDefaults returns the configuration with defaults for zero fields.
 func (c Config) withDefaults() Config {
 	setDefault(&c.Name, "model")
 	setDefault(&c.Slots, DefaultSlots)
--- a/internal/engine/content.go
+++ b/internal/engine/content.go
@@ -10,8 +10,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// wordBytes is the length of every generated token. A fixed length lets a
-// stream be resumed at any byte without keeping what was sent.
+// wordBytes is the length of every generated token. The fixed length allows a
+// stream to be resumed at any byte without storing what was sent.
 const wordBytes = 8
 
 // answerSigma is the standard deviation of the logarithm of answer lengths.
@@ -19,8 +19,8 @@
 
 const wordLetters = "abcdefghijklmnopqrstuvwxyz012345"
 
-// Text returns the whole generated text of a request: n tokens that depend on
-// the request id and their position only.
+// Text returns the complete generated text of a request: n tokens that depend
+// only on the request id and their position.
 func Text(id string, n int) string {
 	var text strings.Builder
 	seed := xxhash.Sum64String(id)
@@ -30,8 +30,8 @@
 	return text.String()
 }
 
-// CheckText tells whether text is the whole text of the request, with neither
-// a gap nor a repeat, and says where it first differs.
+// CheckText returns an error that gives the first difference unless text is the
+// complete text of the request.
 func CheckText(id, text string, tokens int) error {
 	want := Text(id, tokens)
 	if text == want {
@@ -44,8 +44,8 @@
 	return fmt.Errorf("text of %s: %d bytes, want %d, first difference at byte %d", id, len(text), len(want), at)
 }
 
-// Fingerprint is what an answer gives back of the request's body in the field
-// system_fingerprint, so that a caller can tell its own answer from another's.
+// Fingerprint returns a hash of a request's body. Answers carry it in the field
+// system_fingerprint, so that callers can detect answers to other requests.
 func Fingerprint(body []byte) string {
 	var sum [8]byte
 	value := xxhash.Sum64(body)
@@ -73,7 +73,8 @@
 	return x ^ x>>31
 }
 
-// drawTokens draws the length of a request's answer from its id.
+// drawTokens returns a log-normal answer length that is determined by the
+// request id.
 func drawTokens(id string, median int) int {
 	seed := xxhash.Sum64String(id)
 	source := rand.New(rand.NewPCG(seed, mix(seed)))
--- a/internal/engine/crash.go
+++ b/internal/engine/crash.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// crashListener tracks open connections so that a simulated crash can close
-// them all, and refuses new ones while the engine is down.
+// crashListener tracks open connections, so that a simulated crash can close
+// them all, and rejects new ones while the engine is down.
 type crashListener struct {
 	net.Listener
 	mu        sync.Mutex
 	open      map[net.Conn]struct{}
 	downUntil time.Time
-	crashes   int // so far
+	crashes   int
 }
 
 // Accept implements net.Listener.
@@ -42,7 +42,8 @@
 	return tracked, true
 }
 
-// crash refuses new connections until a time. The open ones are lost from now on.
+// crash rejects new connections until the time given. Open connections count as
+// older than the crash from now on.
 func (l *crashListener) crash(until time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -50,8 +51,8 @@
 	l.crashes++
 }
 
-// lost tells whether the connection is from before a crash.
-func (l *crashListener) lost(conn net.Conn) bool {
+// predatesCrash reports whether the connection was accepted before a crash.
+func (l *crashListener) predatesCrash(conn net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	tracked, ok := conn.(*trackedConn)
@@ -71,11 +72,11 @@
 	}
 }
 
-// trackedConn leaves the listener's set when it is closed.
+// trackedConn removes itself from the listener's set when it is closed.
 type trackedConn struct {
 	net.Conn
 	listener *crashListener
-	crashes  int // of the listener when it was accepted
+	crashes  int // of the listener when the connection was accepted
 }
 
 // Close implements net.Conn.
@@ -86,20 +87,22 @@
 	return c.Conn.Close()
 }
 
-// crash brings the engine down: through OnCrash, or as a simulation that loses
-// all runs, streams and the cache, and keeps the ledger for the test.
+// crash calls OnCrash or else simulates a crash: all runs, streams and the cache
+// are lost, but the ledger remains for the test.
 func (e *Engine) crash() {
 	if e.config.OnCrash != nil {
 		e.config.OnCrash()
 		return
 	}
-	e.loseRuns()
-	// Callers may look into the ledger as soon as their connections close.
+	e.dropRuns()
+	// Runs end before connections close, because callers may read the ledger as
+	// soon as their connection closes.
 	e.listener.closeOpen()
 }
 
-// loseRuns ends all runs. A request of a connection from before can't begin another.
-func (e *Engine) loseRuns() {
+// dropRuns ends all runs. Requests on connections from before the crash can't
+// start new ones.
+func (e *Engine) dropRuns() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.listener.crash(time.Now().Add(e.config.Downtime))
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -11,17 +11,17 @@
 	"github.com/valyala/fasthttp"
 )
 
-// maxCatchUp is how far behind its schedule an engine makes up steps. On a
-// busy machine the tokens then come in bursts, at the right rate.
+// maxCatchUp is the longest delay for which an engine makes up missed steps. On
+// a busy machine tokens then arrive in bursts, but at the right mean rate.
 const maxCatchUp = 100 * time.Millisecond
 
-// sweepInterval is the time between two removals of streams past retention.
+// sweepInterval is the time between two removals of expired streams.
 const sweepInterval = time.Second
 
-// maxRequestBytes bounds a request's body.
+// maxRequestBytes is the maximum size of a request's body.
 const maxRequestBytes = 64 << 20
 
-// Engine is one stand-in backend server.
+// Engine is a stand-in backend server.
 type Engine struct {
 	config   Config
 	listener *crashListener
@@ -39,8 +39,8 @@
 	load     Load
 }
 
-// Listen makes an engine on a loopback address; port 0 picks a free one. Run
-// serves it.
+// Listen returns an engine that listens on the address; port 0 picks a free port.
+// Run serves it.
 func Listen(config Config, address string) (*Engine, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -62,26 +62,27 @@
 		Handler:               e.handle,
 		NoDefaultServerHeader: true,
 		MaxRequestBodySize:    maxRequestBytes,
-		Logger:                silent{},
+		Logger:                discardLogger{},
 	}
 	return e, nil
 }
 
-// silent drops fasthttp's own log: connections that end early are expected.
-type silent struct{}
+// discardLogger discards fasthttp's log, since connections that end early are
+// expected in tests.
+type discardLogger struct{}
 
-func (silent) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
-// Address is the address on which the engine listens.
+// Address returns the address on which the engine listens.
 func (e *Engine) Address() string { return e.listener.Addr().String() }
 
 // Runs returns the number of runs of a request id.
 func (e *Engine) Runs(id string) int { return e.ledger.count(id) }
 
-// Ledger returns the runs that began at or after since, and those that run.
+// Ledger returns the runs that started at or after since and those still running.
 func (e *Engine) Ledger(since time.Time) []Run { return e.ledger.snapshot(since) }
 
-// Run serves until the context ends and then drops what still runs.
+// Run serves until the context ends and then cancels all runs.
 func (e *Engine) Run(ctx context.Context) error {
 	served := make(chan error, 1)
 	go func() { served <- e.server.Serve(e.listener) }()
@@ -92,7 +93,7 @@
 	return <-served
 }
 
-// loop steps the batch. One goroutine with one timer serves all requests.
+// loop steps the batch. A single goroutine and timer serve all requests.
 func (e *Engine) loop(ctx context.Context) {
 	refresh := time.NewTicker(e.config.LoadInterval)
 	defer refresh.Stop()
@@ -122,7 +123,8 @@
 	}
 }
 
-// advance makes the steps that are due and returns the time of the next one.
+// advance runs the steps that are due and returns the time of the next one, or
+// zero if nothing runs.
 func (e *Engine) advance(now, next time.Time) time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -145,7 +147,8 @@
 	return next
 }
 
-// stepTime grows in proportion once more requests run than there are slots.
+// stepTime returns the duration of a step. It grows in proportion to the running
+// requests once there are more than slots.
 func (e *Engine) stepTime() time.Duration {
 	if len(e.running) <= e.config.Slots {
 		return e.config.Step
@@ -153,42 +156,42 @@
 	return e.config.Step * time.Duration(len(e.running)) / time.Duration(e.config.Slots)
 }
 
-// step yields one token for each running request that is past its prompt.
+// step generates one token for each running request whose prompt is complete.
 func (e *Engine) step(now time.Time) {
-	kept := e.running[:0]
+	active := e.running[:0]
 	for _, s := range e.running {
 		first, ended := s.advance()
 		if first {
 			e.ledger.update(func() { s.run.FirstTokenNS = now.UnixNano() })
 		}
 		if ended {
-			e.settle(s, now)
+			e.recordEnd(s, now)
 			continue
 		}
-		kept = append(kept, s)
+		active = append(active, s)
 	}
-	clear(e.running[len(kept):])
-	e.running = kept
+	clear(e.running[len(active):])
+	e.running = active
 }
 
-// settle writes a run's end into the ledger.
-func (e *Engine) settle(s *stream, now time.Time) {
+// recordEnd records a run's end in the ledger.
+func (e *Engine) recordEnd(s *stream, now time.Time) {
 	produced, state := s.progress()
 	e.ledger.update(func() { s.run.Tokens = produced })
 	e.ledger.end(s.run, state, now)
 	e.finished[s.id] = now
 }
 
-// admit begins a run at once: an engine knows no priorities and no queue. It returns
-// false if the engine has crashed since the caller's connection was accepted.
-func (e *Engine) admit(s *stream, caller net.Conn) bool {
+// admit starts a run immediately, since an engine has neither priorities nor a
+// queue. It returns false if the engine has crashed since it accepted conn.
+func (e *Engine) admit(s *stream, conn net.Conn) bool {
 	now := time.Now()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.listener.lost(caller) {
+	if e.listener.predatesCrash(conn) {
 		return false
 	}
-	cached := e.cache.take(s.prompt)
+	cached := e.cache.lookupAndAdd(s.prompt)
 	s.promptSize = promptTokens(s.prompt)
 	s.cached = cached
 	s.prefill = (s.promptSize - cached) / e.config.PrefillTokens
@@ -209,14 +212,15 @@
 	}
 }
 
-// find returns the latest stream of an id, or nil.
+// find returns the latest stream of a request id, or nil.
 func (e *Engine) find(id string) *stream {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.streams[id]
 }
 
-// cancel stops the run of an id and frees its slot.
+// cancel stops the run of a request id and frees its slot. It reports whether
+// there was a stream of that id.
 func (e *Engine) cancel(id string) bool {
 	s := e.find(id)
 	if s == nil {
@@ -228,31 +232,31 @@
 	for i, other := range e.running {
 		if other == s {
 			e.running = append(e.running[:i], e.running[i+1:]...)
-			e.settle(s, time.Now())
+			e.recordEnd(s, time.Now())
 			break
 		}
 	}
 	return true
 }
 
-// stopAll drops every run.
+// stopAll stops every run.
 func (e *Engine) stopAll(state RunState) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.stopLocked(state)
 }
 
-// stopLocked drops every run. It must be called with mu held.
+// stopLocked stops every run. It must be called with mu held.
 func (e *Engine) stopLocked(state RunState) {
 	now := time.Now()
 	for _, s := range e.running {
 		s.stop(state)
-		e.settle(s, now)
+		e.recordEnd(s, now)
 	}
 	e.running = nil
 }
 
-// sweep forgets the streams that ended longer ago than the retention.
+// sweep removes the streams that ended longer ago than Config.Retention.
 func (e *Engine) sweep(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -14,7 +14,7 @@
 	"pgregory.net/rapid"
 )
 
-// start serves an engine until the test ends.
+// start runs an engine until the test ends.
 func start(t *testing.T, config Config) *Engine {
 	t.Helper()
 	e, err := Listen(config, "127.0.0.1:0")
@@ -63,7 +63,7 @@
 	return text.String()
 }
 
-func TestStreamIsWholeAndResumesAtAnyByte(t *testing.T) {
+func TestStreamIsCompleteAndResumesAtAnyByte(t *testing.T) {
 	e := start(t, Config{Step: time.Millisecond})
 	_, answer, err := call(t, e, "POST", pathChat, "r1", `{"model":"m","stream":true,"x_tokens":20,"prompt":"a"}`)
 	if err != nil {
@@ -73,7 +73,7 @@
 		t.Fatal(err)
 	}
 	if !strings.HasSuffix(answer, "data: [DONE]\n\n") || !strings.Contains(answer, `"completion_tokens":20`) {
-		t.Fatalf("no usage or no end: %s", answer)
+		t.Fatalf("usage or final event is missing: %s", answer)
 	}
 	rapid.Check(t, func(rt *rapid.T) {
 		offset := rapid.IntRange(0, len(answer)).Draw(rt, "offset")
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestWholeAnswerAndLedger(t *testing.T) {
+func TestCompleteAnswerAndLedger(t *testing.T) {
 	e := start(t, Config{Step: time.Millisecond})
 	for range 2 {
 		_, answer, err := call(t, e, "POST", pathCompletions, "r1", `{"x_tokens":5,"prompt":"abc"}`)
@@ -101,8 +101,8 @@
 	}
 }
 
-// Symptom: a caller goes away and its slot stays taken. The run is cancelled
-// by id, which must end the answer with an error rather than cleanly.
+// Guards against slots that stay in use after a caller disconnects. Cancelling the
+// run by id must free the slot and end the answer with an error.
 func TestCancelEndsTheRun(t *testing.T) {
 	e := start(t, Config{Step: time.Millisecond})
 	ended := make(chan error, 1)
@@ -117,14 +117,14 @@
 		t.Fatalf("status %d", response.StatusCode)
 	}
 	if err := <-ended; err == nil {
-		t.Fatal("a cancelled answer ended cleanly")
+		t.Fatal("a cancelled answer ended without an error")
 	}
 	if run := e.Ledger(time.Time{})[0]; run.State != RunCancelled || run.EndedNS == 0 {
 		t.Fatalf("ledger: %+v", run)
 	}
 }
 
-// Symptom: one marked request takes down the server with all that runs on it.
+// A request with x_crash must crash the engine with all its runs.
 func TestCrashDropsEveryRun(t *testing.T) {
 	e := start(t, Config{Step: time.Millisecond, PermitCrash: true, Downtime: time.Millisecond})
 	other := make(chan error, 1)
@@ -136,10 +136,10 @@
 		time.Sleep(time.Millisecond)
 	}
 	if _, _, err := call(t, e, "POST", pathChat, "r2", `{"x_crash":true}`); err == nil {
-		t.Fatal("the crashing request got an answer")
+		t.Fatal("the request that crashes the engine was answered")
 	}
 	if err := <-other; err == nil {
-		t.Fatal("a run outlived the crash")
+		t.Fatal("a run survived the crash")
 	}
 	for _, run := range e.Ledger(time.Time{}) {
 		if run.State != RunCrashed {
@@ -172,14 +172,14 @@
 func TestPrefixCacheIsBounded(t *testing.T) {
 	cache := newPrefixCache(4 * blockTokens)
 	prompt := strings.Repeat("a", 3*blockTokens*bytesPerToken)
-	if got := cache.take(prompt); got != 0 {
-		t.Fatalf("%d tokens cached at first sight", got)
+	if got := cache.lookupAndAdd(prompt); got != 0 {
+		t.Fatalf("%d tokens of a new prompt cached", got)
 	}
-	if got := cache.take(prompt + "tail"); got != 3*blockTokens {
+	if got := cache.lookupAndAdd(prompt + "tail"); got != 3*blockTokens {
 		t.Fatalf("%d tokens cached of a known prefix", got)
 	}
-	cache.take(strings.Repeat("b", 4*blockTokens*bytesPerToken))
-	if got := cache.take(prompt); got != 0 || cache.order.Len() != 4 {
-		t.Fatalf("%d tokens outlived the bound, %d blocks", got, cache.order.Len())
+	cache.lookupAndAdd(strings.Repeat("b", 4*blockTokens*bytesPerToken))
+	if got := cache.lookupAndAdd(prompt); got != 0 || cache.order.Len() != 4 {
+		t.Fatalf("%d tokens still cached beyond the capacity, %d blocks", got, cache.order.Len())
 	}
 }
--- a/internal/engine/http.go
+++ b/internal/engine/http.go
@@ -32,7 +32,7 @@
 	typeLines  = "application/x-ndjson"
 )
 
-// completionRequest is the part of a request's body that the engine heeds.
+// completionRequest holds the fields of a request's body that the engine uses.
 type completionRequest struct {
 	Model     string    `json:"model"`
 	Prompt    string    `json:"prompt"`
@@ -48,7 +48,7 @@
 	Content string `json:"content"`
 }
 
-// text returns the whole prompt.
+// text returns the complete prompt.
 func (r completionRequest) text() string {
 	var text strings.Builder
 	text.WriteString(r.Prompt)
@@ -58,8 +58,8 @@
 	return text.String()
 }
 
-// tokens returns the length of the answer. A length that is fixed by x_tokens
-// leaves max_tokens a mere hint to the system, which may be wrong.
+// tokens returns the length of the answer. If x_tokens sets it, max_tokens is
+// only a hint to the router, which tests may set wrong.
 func (r completionRequest) tokens(id string, median int) int {
 	if r.Tokens > 0 {
 		return r.Tokens
@@ -93,7 +93,7 @@
 	}
 }
 
-// handleCompletion runs a model request and writes its answer.
+// handleCompletion runs a model request and answers it.
 func (e *Engine) handleCompletion(ctx *fasthttp.RequestCtx) {
 	var request completionRequest
 	if err := json.Unmarshal(ctx.PostBody(), &request); err != nil {
@@ -105,7 +105,7 @@
 	s := newStream(id, request.Model, Fingerprint(ctx.PostBody()), request.Stream, tokens)
 	s.prompt = request.text()
 	if !e.admit(s, ctx.Conn()) {
-		_ = ctx.Conn().Close() // a crashed engine answers nothing
+		_ = ctx.Conn().Close() // a crashed engine doesn't answer
 		return
 	}
 	if request.Crash && e.config.PermitCrash {
@@ -138,7 +138,7 @@
 	writeAnswer(ctx, s, offset)
 }
 
-// writeAnswer writes an answer from an offset on while it is made.
+// writeAnswer streams an answer from a byte offset while it is generated.
 func writeAnswer(ctx *fasthttp.RequestCtx, s *stream, offset int) {
 	ctx.Response.Header.Set(headerRequestID, s.id)
 	ctx.SetContentType(typeJSON)
@@ -154,7 +154,8 @@
 	_ = json.NewEncoder(ctx).Encode(e.report(time.Now()))
 }
 
-// writeLedger writes the runs as JSON lines; since_ns leaves out earlier ones.
+// writeLedger writes the runs as JSON lines: those that started at or after
+// since_ns and those still running.
 func (e *Engine) writeLedger(ctx *fasthttp.RequestCtx) {
 	since, _ := strconv.ParseInt(string(ctx.QueryArgs().Peek("since_ns")), 10, 64)
 	ctx.SetContentType(typeLines)
@@ -164,7 +165,7 @@
 	}
 }
 
-// requestID takes the caller's request id, or makes one.
+// requestID returns the caller's request id, or a new one.
 func requestID(ctx *fasthttp.RequestCtx) string {
 	if id := ctx.Request.Header.Peek(headerRequestID); len(id) > 0 {
 		return string(id)
@@ -172,7 +173,7 @@
 	return uuid.NewString()
 }
 
-// errorBody has the shape that clients of model engines expect.
+// errorBody is the error format that clients of model engines expect.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
--- a/internal/engine/ledger.go
+++ b/internal/engine/ledger.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// RunState tells how a run ended.
+// RunState is the state of a run.
 type RunState string
 
 // The states of a run.
@@ -16,8 +16,8 @@
 	RunCrashed   RunState = "crashed"
 )
 
-// Run is one line of the ledger: one run of one request. Times are Unix
-// nanoseconds; 0 stands for not yet.
+// Run is a ledger entry: one run of one request. Times are Unix nanoseconds, or
+// 0 if not reached yet.
 type Run struct {
 	ID           string   `json:"id"`
 	State        RunState `json:"state"`
@@ -29,16 +29,18 @@
 	Tokens       int      `json:"tokens,omitempty"` // generated so far
 }
 
-// ledger holds every run since the engine was made, a simulated crash or not.
+// ledger records every run since the engine was created. Simulated crashes do
+// not clear it.
 type ledger struct {
 	mu   sync.Mutex
 	runs []*Run
-	byID map[string]int // number of runs
+	byID map[string]int // number of runs by request id
 }
 
 func newLedger() *ledger { return &ledger{byID: make(map[string]int)} }
 
-// begin opens a run and returns it with the number of runs of its id so far.
+// begin records the start of a run and returns it with the number of runs of the
+// request id so far.
 func (l *ledger) begin(id string, now time.Time) (*Run, int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -48,14 +50,14 @@
 	return run, l.byID[id]
 }
 
-// update changes a run under the ledger's lock.
+// update calls change, which may modify a run, with the ledger locked.
 func (l *ledger) update(change func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change()
 }
 
-// end closes a run that is still open.
+// end records the end of a run, unless it has ended already.
 func (l *ledger) end(run *Run, state RunState, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -65,7 +67,7 @@
 	}
 }
 
-// snapshot copies the runs that began at or after since.
+// snapshot copies the runs that started at or after since and those still running.
 func (l *ledger) snapshot(since time.Time) []Run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -78,7 +80,7 @@
 	return runs
 }
 
-// count is the number of runs of an id.
+// count returns the number of runs of a request id.
 func (l *ledger) count(id string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/engine/load.go
+++ b/internal/engine/load.go
@@ -6,7 +6,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Load is the load report. It lags behind the truth by its age.
+// Load is the load report. It shows the state of AgeMS ago.
 type Load struct {
 	Slots   int   `json:"slots"`
 	Running int   `json:"running"`
@@ -16,7 +16,7 @@
 	at time.Time
 }
 
-// refreshLoad takes a new load report.
+// refreshLoad updates the load report.
 func (e *Engine) refreshLoad(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -38,7 +38,7 @@
 	return load
 }
 
-// registerMetrics makes the engine's metrics.
+// registerMetrics registers the engine's metrics.
 func (e *Engine) registerMetrics() {
 	gauge := func(name, help string, read func() float64) {
 		options := prometheus.GaugeOpts{Name: "bluebell_standin_" + name, Help: help}
--- a/internal/engine/plain.go
+++ b/internal/engine/plain.go
@@ -14,17 +14,17 @@
 	Request     string `json:"request"`
 	Method      string `json:"method"`
 	Path        string `json:"path"`
-	Run         int    `json:"run"` // 1 unless the same request ran before
+	Run         int    `json:"run"` // 1 unless the request ran before
 	Fingerprint string `json:"fingerprint"`
 }
 
-// handlePlain works for the time that the call names and counts the run. It
-// takes a repeated call for a new one, as a service without idempotence does.
+// handlePlain works for the time that the call requests and records the run. A
+// repeated call runs again, as at a service that is not idempotent.
 func (e *Engine) handlePlain(ctx *fasthttp.RequestCtx) {
 	id := requestID(ctx)
 	run, number := e.ledger.begin(id, time.Now())
-	time.Sleep(e.enterPlain(e.workTime(ctx)))
-	e.leavePlain()
+	time.Sleep(e.beginPlain(e.workTime(ctx)))
+	e.endPlain()
 	e.ledger.end(run, RunComplete, time.Now())
 	answer := PlainAnswer{
 		Service:     e.config.Name,
@@ -39,18 +39,18 @@
 	_ = json.NewEncoder(ctx).Encode(answer)
 }
 
-// workTime is the time that the call asks for, in X-Work-Ms.
+// workTime returns the time that the call requests in X-Work-Ms.
 func (e *Engine) workTime(ctx *fasthttp.RequestCtx) time.Duration {
-	asked, err := strconv.ParseFloat(string(ctx.Request.Header.Peek(headerWork)), 64)
-	if err != nil || asked < 0 {
+	milliseconds, err := strconv.ParseFloat(string(ctx.Request.Header.Peek(headerWork)), 64)
+	if err != nil || milliseconds < 0 {
 		return e.config.Work
 	}
-	return time.Duration(asked * float64(time.Millisecond))
+	return time.Duration(milliseconds * float64(time.Millisecond))
 }
 
-// enterPlain counts a call and stretches its work when there are more calls
-// than slots.
-func (e *Engine) enterPlain(work time.Duration) time.Duration {
+// beginPlain counts a call and returns its work time, which is longer if there
+// are more calls than slots.
+func (e *Engine) beginPlain(work time.Duration) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.plain++
@@ -60,7 +60,7 @@
 	return work
 }
 
-func (e *Engine) leavePlain() {
+func (e *Engine) endPlain() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.plain--
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -8,16 +8,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// stream is one run of a model request and its answer. The answer's bytes are
-// made from the id and the number of tokens when they are read, so a stream
-// costs the same memory at any length.
+// stream is one run of a model request with its answer. The answer is generated
+// from the request id and the number of tokens when it is read, so the memory of
+// a stream doesn't depend on its length.
 type stream struct {
 	id          string
 	chunked     bool // server-sent events; else one JSON document
 	fingerprint string
 	prompt      string
 	seed        uint64
-	head, tail  string // of a chunk, around its word
+	head, tail  string // of a chunk, before and after its word
 	run         *Run
 
 	mu         sync.Mutex
@@ -25,7 +25,7 @@
 	prefill    int // steps until the first token
 	promptSize int // tokens
 	cached     int // tokens of the prompt found in the cache
-	target     int // tokens of the whole answer
+	target     int // tokens of the complete answer
 	produced   int
 	ended      RunState // RunRunning until the run ends
 }
@@ -42,7 +42,8 @@
 	return s
 }
 
-// advance takes the stream one step further and reports whether it ended.
+// advance runs one step of the stream. It reports whether the step produced the
+// first token and whether the run has ended.
 func (s *stream) advance() (first, ended bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,7 +64,7 @@
 	return s.produced == 1, s.ended != RunRunning
 }
 
-// stop ends the run early. Readers get an error in place of a clean end.
+// stop ends the run early. Readers get an error rather than the end of the answer.
 func (s *stream) stop(state RunState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,21 +74,21 @@
 	s.changed.Broadcast()
 }
 
-// progress returns the number of tokens made and the state.
+// progress returns the number of generated tokens and the run's state.
 func (s *stream) progress() (int, RunState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.produced, s.ended
 }
 
-// closing is what follows the last word of a chunked answer.
-func (s *stream) closing() string {
+// finalEvents returns the events after the last word of a streamed answer.
+func (s *stream) finalEvents() string {
 	return fmt.Sprintf("data: {\"id\":%q,\"object\":\"chat.completion.chunk\",\"system_fingerprint\":%q,\"choices\":[],\"usage\":%s}\n\ndata: [DONE]\n\n",
 		s.id, s.fingerprint, s.usage())
 }
 
-// whole is the answer as one JSON document.
-func (s *stream) whole() string {
+// document returns the answer as a single JSON document.
+func (s *stream) document() string {
 	return fmt.Sprintf(`{"id":%q,"object":"chat.completion","system_fingerprint":%q,"choices":[{"index":0,`+
 		`"message":{"role":"assistant","content":%q},"text":%[3]q,"finish_reason":"stop"}],"usage":%s}`,
 		s.id, s.fingerprint, Text(s.id, s.produced), s.usage())
@@ -98,8 +99,8 @@
 		s.promptSize, s.produced, s.promptSize+s.produced, s.cached)
 }
 
-// reader reads an answer from a byte offset on and waits for bytes that are
-// not there yet.
+// reader reads an answer from a byte offset and waits for bytes that are not
+// generated yet.
 type reader struct {
 	stream *stream
 	offset int
@@ -133,7 +134,7 @@
 	return copied, nil
 }
 
-// copyChunks copies the words that were made, as far as p reaches.
+// copyChunks copies generated chunks into p.
 func (r *reader) copyChunks(p []byte, chunk int) int {
 	s := r.stream
 	copied := 0
@@ -147,12 +148,12 @@
 	return copied
 }
 
-// copyEnd copies what follows the words. body is the offset at which it begins.
+// copyEnd copies the final events or the document, which starts at offset body.
 func (r *reader) copyEnd(p []byte, body int) int {
 	if r.end == "" && r.stream.chunked {
-		r.end = r.stream.closing()
+		r.end = r.stream.finalEvents()
 	} else if r.end == "" {
-		r.end = r.stream.whole()
+		r.end = r.stream.document()
 	}
 	if r.offset-body >= len(r.end) {
 		return 0
