--- a/internal/measurepath/call.go
+++ b/internal/measurepath/call.go
@@ -1,6 +1,6 @@
 // Package measurepath measures the path of plain calls through running
-// processes: a router, an agent and a stand-in backend server. The figures hold
-// for the machine as it is, so what else it does belongs beside them.
+// processes: a router, an agent and a stand-in backend server. Results depend on
+// the machine and on its other load, which should be reported with them.
 package measurepath
 
 import (
@@ -14,15 +14,15 @@
 	"github.com/pkg/errors"
 )
 
-// Target is where the calls go and what they carry.
+// Target describes the calls of a measurement.
 type Target struct {
 	URL    string
 	APIKey string
-	WorkMs int // work of one call at the stand-in backend server
+	WorkMs int // work time of a call at the stand-in backend server
 }
 
-// call makes one call and returns its time until the end of the answer. It
-// fails unless the answer's status is 200.
+// call makes a call and returns the time until the end of the answer. It returns
+// an error unless the status is 200.
 func (t Target) call(ctx context.Context, client *http.Client) (time.Duration, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, t.URL, strings.NewReader("{}"))
 	if err != nil {
@@ -36,7 +36,7 @@
 		return 0, errors.Wrap(err, "call")
 	}
 	defer response.Body.Close()
-	// A body that is not read to its end costs the connection.
+	// The connection is reused only if the body is read to its end.
 	if _, err := io.Copy(io.Discard, response.Body); err != nil {
 		return 0, errors.Wrap(err, "answer")
 	}
@@ -47,8 +47,8 @@
 	return took, nil
 }
 
-// pause waits for a time or until the context ends.
-func pause(ctx context.Context, duration time.Duration) error {
+// sleep waits for the duration, or returns an error when the context ends.
+func sleep(ctx context.Context, duration time.Duration) error {
 	select {
 	case <-time.After(duration):
 		return nil
--- a/internal/measurepath/latency.go
+++ b/internal/measurepath/latency.go
@@ -14,13 +14,13 @@
 	Calls    int     `json:"calls"`
 	AddedP50 float64 `json:"added_p50_us"` // difference of the two quantiles
 	AddedP99 float64 `json:"added_p99_us"`
-	// The direct calls show how busy the machine was.
+	// The direct calls show the load of the machine.
 	DirectP50 float64 `json:"direct_p50_us"`
 	DirectP99 float64 `json:"direct_p99_us"`
 }
 
-// Latency makes calls one at a time, in turn directly to the backend server
-// and through router and agent, so that both meet the same machine.
+// Latency makes calls one at a time, alternately to the backend server and
+// through router and agent, so that both see the same load of the machine.
 func Latency(ctx context.Context, routed Target, directURL string, calls int) (LatencyFigures, error) {
 	if calls < 1 {
 		return LatencyFigures{}, errors.New("at least one call is needed")
--- a/internal/measurepath/metrics.go
+++ b/internal/measurepath/metrics.go
@@ -10,7 +10,7 @@
 	"github.com/pkg/errors"
 )
 
-// Metrics of the router that are read.
+// Names of the router's metrics.
 const (
 	metricCPU      = "process_cpu_seconds_total"
 	metricResident = "process_resident_memory_bytes"
@@ -19,8 +19,8 @@
 	metricWaiting  = "bluebell_router_waiting_requests"
 )
 
-// readMetric reads one value without labels from a process's /metrics; address
-// is its control address.
+// readMetric reads a metric without labels from the /metrics of the process with
+// the control address.
 func readMetric(ctx context.Context, address, name string) (float64, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/metrics", nil)
 	if err != nil {
--- a/internal/measurepath/throughput.go
+++ b/internal/measurepath/throughput.go
@@ -9,19 +9,18 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// ThroughputFigures tell what plain calls cost a router.
+// ThroughputFigures are the CPU costs of plain calls at a router.
 type ThroughputFigures struct {
-	Calls             int     `json:"calls"`
-	PerSecond         float64 `json:"requests_per_second"`
-	PerCoreSecond     float64 `json:"requests_per_core_second"`
-	Cores             float64 `json:"cores"` // that the router used in the mean
-	CPUMicroseconds   float64 `json:"cpu_us_per_request"`
-	MeasuredInSeconds float64 `json:"seconds"`
+	Calls           int     `json:"calls"`
+	PerSecond       float64 `json:"requests_per_second"`
+	PerCoreSecond   float64 `json:"requests_per_core_second"`
+	Cores           float64 `json:"cores"` // mean number of cores that the router used
+	CPUMicroseconds float64 `json:"cpu_us_per_request"`
+	Seconds         float64 `json:"seconds"`
 }
 
-// Throughput makes calls from a number of callers at the same time and compares
-// their number with the processor time that the router used meanwhile. It ends
-// with the first call that fails.
+// Throughput makes calls from concurrent callers and relates their number to the
+// router's CPU time. It returns an error as soon as a call fails.
 func Throughput(ctx context.Context, target Target, metrics string, calls, callers int) (ThroughputFigures, error) {
 	if calls < 1 || callers < 1 {
 		return ThroughputFigures{}, errors.New("at least one call and one caller are needed")
@@ -53,14 +52,14 @@
 	}
 	used := after - before
 	if used <= 0 {
-		return ThroughputFigures{}, errors.New("too few calls: the router's processor time did not change")
+		return ThroughputFigures{}, errors.New("too few calls: the router's CPU time did not change")
 	}
 	return ThroughputFigures{
-		Calls:             calls,
-		PerSecond:         float64(calls) / took,
-		PerCoreSecond:     float64(calls) / used,
-		Cores:             used / took,
-		CPUMicroseconds:   1e6 * used / float64(calls),
-		MeasuredInSeconds: took,
+		Calls:           calls,
+		PerSecond:       float64(calls) / took,
+		PerCoreSecond:   float64(calls) / used,
+		Cores:           used / took,
+		CPUMicroseconds: 1e6 * used / float64(calls),
+		Seconds:         took,
 	}, nil
 }
--- a/internal/measurepath/waiting.go
+++ b/internal/measurepath/waiting.go
@@ -13,31 +13,32 @@
 
 const (
 	bodyBytes = 4096
-	// longWorkMs keeps the slots taken while the others wait.
+	// longWorkMs keeps the slots in use while the other requests wait.
 	longWorkMs = 30000
-	// waitingPart of the requests must wait before the memory is read.
-	waitingPart = 0.98
-	// waitingLimit ends the wait for requests that never come to wait.
-	waitingLimit = 30 * time.Second
-	pollInterval = 100 * time.Millisecond
-	// returnTime passes before the last figures are read, because what the
-	// runtime has freed goes back to the machine with a delay.
-	returnTime = 10 * time.Second
-	mebibyte   = 1 << 20
+	// minWaitingShare is the fraction of the requests that must be waiting
+	// before the memory is read.
+	minWaitingShare = 0.98
+	// waitingTimeout is the maximum time until minWaitingShare is reached.
+	waitingTimeout = 30 * time.Second
+	pollInterval   = 100 * time.Millisecond
+	// memoryReturnDelay is the time before the last figures are read. The Go
+	// runtime returns freed memory to the operating system with a delay.
+	memoryReturnDelay = 10 * time.Second
+	mebibyte          = 1 << 20
 )
 
-// WaitingFigures tell what waiting requests of 4 KB cost a router.
+// WaitingFigures are the memory costs of waiting requests of 4 KB at a router.
 type WaitingFigures struct {
-	Waiting            float64 `json:"waiting"` // requests that waited
-	ResidentMiB        float64 `json:"resident_mib"`
-	ResidentPerRequest float64 `json:"resident_bytes_per_request"` // above the size before
-	LaterMiB           float64 `json:"resident_mib_after_10_s"`
-	HeapPerRequest     float64 `json:"heap_bytes_per_request"`
-	StackPerRequest    float64 `json:"stack_bytes_per_request"`
+	Waiting               float64 `json:"waiting"` // number of waiting requests
+	ResidentMiB           float64 `json:"resident_mib"`
+	ResidentPerRequest    float64 `json:"resident_bytes_per_request"` // increase over the size before
+	ResidentMiBAfterDelay float64 `json:"resident_mib_after_10_s"`
+	HeapPerRequest        float64 `json:"heap_bytes_per_request"`
+	StackPerRequest       float64 `json:"stack_bytes_per_request"`
 }
 
-// Waiting sends requests, each on a connection of its own, and reads the
-// router's memory while they wait. The service must have few slots.
+// Waiting sends requests, each on its own connection, and reads the router's
+// memory use while they wait. The service must have few slots.
 func Waiting(ctx context.Context, target Target, metrics string, requests int) (WaitingFigures, error) {
 	before, err := readMetric(ctx, metrics, metricResident)
 	if err != nil {
@@ -63,20 +64,21 @@
 	count := max(1, figures.Waiting)
 	figures.ResidentMiB = resident / mebibyte
 	figures.ResidentPerRequest = (resident - before) / count
-	if err := pause(ctx, returnTime); err != nil {
+	if err := sleep(ctx, memoryReturnDelay); err != nil {
 		return figures, err
 	}
-	return figures, figures.readLater(ctx, metrics, count)
+	return figures, figures.readAfterDelay(ctx, metrics, count)
 }
 
-// readLater reads the figures after the runtime has given memory back.
-func (f *WaitingFigures) readLater(ctx context.Context, metrics string, count float64) error {
+// readAfterDelay reads the figures that depend on freed memory having been
+// returned.
+func (f *WaitingFigures) readAfterDelay(ctx context.Context, metrics string, count float64) error {
 	for _, figure := range []struct {
 		name  string
 		unit  float64
 		value *float64
 	}{
-		{metricResident, mebibyte, &f.LaterMiB},
+		{metricResident, mebibyte, &f.ResidentMiBAfterDelay},
 		{metricHeap, count, &f.HeapPerRequest},
 		{metricStack, count, &f.StackPerRequest},
 	} {
@@ -89,19 +91,19 @@
 	return nil
 }
 
-// sendAll sends the requests and returns their open connections, also with an
-// error.
+// sendAll sends the requests and returns their open connections, also if it
+// returns an error.
 func sendAll(ctx context.Context, target Target, requests int) ([]net.Conn, error) {
-	where, err := url.Parse(target.URL)
+	routerURL, err := url.Parse(target.URL)
 	if err != nil {
 		return nil, errors.Wrap(err, "router")
 	}
 	text := fmt.Sprintf("POST %s HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nX-Work-Ms: %d\r\nContent-Length: %d\r\n\r\n%s",
-		where.RequestURI(), target.APIKey, longWorkMs, bodyBytes, strings.Repeat("x", bodyBytes))
+		routerURL.RequestURI(), target.APIKey, longWorkMs, bodyBytes, strings.Repeat("x", bodyBytes))
 	var dialer net.Dialer
 	var conns []net.Conn
 	for range requests {
-		conn, err := dialer.DialContext(ctx, "tcp", where.Host)
+		conn, err := dialer.DialContext(ctx, "tcp", routerURL.Host)
 		if err != nil {
 			return conns, errors.Wrap(err, "connection")
 		}
@@ -113,15 +115,15 @@
 	return conns, nil
 }
 
-// awaitWaiting waits until nearly all requests wait, for a limited time, and
-// returns how many do.
+// awaitWaiting waits until minWaitingShare of the requests are waiting, up to
+// waitingTimeout, and returns their number.
 func awaitWaiting(ctx context.Context, metrics string, requests int) (float64, error) {
-	for deadline := time.Now().Add(waitingLimit); ; {
-		if err := pause(ctx, pollInterval); err != nil {
+	for deadline := time.Now().Add(waitingTimeout); ; {
+		if err := sleep(ctx, pollInterval); err != nil {
 			return 0, err
 		}
 		waiting, err := readMetric(ctx, metrics, metricWaiting)
-		if err != nil || waiting >= waitingPart*float64(requests) || !time.Now().Before(deadline) {
+		if err != nil || waiting >= minWaitingShare*float64(requests) || !time.Now().Before(deadline) {
 			return waiting, err
 		}
 	}
