--- a/internal/testrelay/relay.go
+++ b/internal/testrelay/relay.go
@@ -1,7 +1,7 @@
-// Package testrelay stands between two ends of a TCP connection and lets the
-// network between them fail: it delays, holds back, trickles, resets, or goes
-// silent, so that the connection stays open and carries nothing more, as on a
-// network that has forgotten it. Only tests use it.
+// Package testrelay is a TCP proxy for tests that injects network faults. It can
+// delay data, hold it back, forward it in small chunks, reset connections, or
+// blackhole them: a blackholed connection stays open but carries no more data,
+// as after a network has dropped its state.
 package testrelay
 
 import (
@@ -18,54 +18,54 @@
 )
 
 const (
-	// bufferSize is the most that is carried at once, in bytes.
+	// bufferSize is the maximum number of bytes forwarded at a time.
 	bufferSize = 4096
-	// holdPause is the pause between two looks at whether data is still held back.
-	holdPause = 5 * time.Millisecond
-	// tricklePause is the pause between two parts that trickle.
-	tricklePause = 10 * time.Millisecond
+	// holdPollInterval is the time between checks whether data is still held back.
+	holdPollInterval = 5 * time.Millisecond
+	// trickleInterval is the time between chunks limited by Faults.TrickleBytes.
+	trickleInterval = 10 * time.Millisecond
 )
 
-// Config tells what a relay does.
+// Config sets a relay's addresses and limit.
 type Config struct {
-	Listen fleet.Address // a free port of 127.0.0.1 when empty
+	Listen fleet.Address // a free port of 127.0.0.1 if empty
 	Target fleet.Address
-	// BlackholeAfter, if not zero, makes the first connection whose answers exceed
-	// that many bytes go silent by itself; no other one does.
+	// BlackholeAfter, if not zero, blackholes the first connection whose answers
+	// exceed that many bytes, and no other.
 	BlackholeAfter int
 }
 
-// Faults is what goes wrong on all connections while it lasts. Nothing is lost by it.
+// Faults are injected into all connections while set. They lose no data.
 type Faults struct {
-	Delay          time.Duration // before each piece of data and each end
-	HoldToTarget   bool          // holds back what goes to the target
-	HoldFromTarget bool          // holds back what comes from it
-	TrickleBytes   int           // bytes that are carried at once, 0 for no bound
+	Delay          time.Duration // before each chunk of data and each close
+	HoldToTarget   bool          // hold back data to the target
+	HoldFromTarget bool          // hold back data from the target
+	TrickleBytes   int           // maximum chunk size, 0 for no limit
 }
 
-// Relay forwards connections to a target. Connections that are made after
-// Silence or Reset work.
+// Relay forwards connections to a target. Blackhole and Reset don't affect
+// connections accepted later.
 type Relay struct {
-	config   Config
-	listener net.Listener
-	limited  chan struct{} // closed when the limit has silenced a connection
-	once     sync.Once
-	dropped  atomic.Int64
-	trouble  atomic.Pointer[Faults]
+	config       Config
+	listener     net.Listener
+	limitReached chan struct{} // closed when BlackholeAfter has taken effect
+	limitOnce    sync.Once
+	dropped      atomic.Int64
+	faults       atomic.Pointer[Faults]
 
 	mu          sync.Mutex
-	connections map[*connection]bool // those that are open
-	made        int
+	connections map[*connection]bool // open connections
+	accepted    int
 }
 
-// connection is one connection with its two ends.
+// connection is a forwarded connection.
 type connection struct {
-	relay     *Relay
-	near, far net.Conn // the client's and the target's end
-	silent    atomic.Bool
+	relay          *Relay
+	client, target net.Conn // the relay's sockets to either side
+	blackholed     atomic.Bool
 }
 
-// Start starts a relay that accepts connections until the test ends.
+// Start starts a relay that runs until the test ends.
 func Start(t testing.TB, config Config) *Relay {
 	t.Helper()
 	if config.Listen == "" {
@@ -75,51 +75,53 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &Relay{config: config, listener: listener, limited: make(chan struct{}), connections: make(map[*connection]bool)}
+	r := &Relay{config: config, listener: listener, limitReached: make(chan struct{}), connections: make(map[*connection]bool)}
 	r.SetFaults(Faults{})
-	go r.run()
+	go r.acceptLoop()
 	t.Cleanup(r.Close)
 	return r
 }
 
-// Close ends the relay and resets its connections.
+// Close stops the relay and resets its connections.
 func (r *Relay) Close() {
 	r.listener.Close()
-	r.SetFaults(Faults{}) // held data would keep its goroutines
+	r.SetFaults(Faults{}) // goroutines that hold data back would not end
 	r.Reset()
 }
 
-// Address is where the relay listens.
+// Address returns the address on which the relay listens.
 func (r *Relay) Address() fleet.Address { return fleet.Address(r.listener.Addr().String()) }
 
-// LimitReached is closed once the answer limit has silenced a connection.
-func (r *Relay) LimitReached() <-chan struct{} { return r.limited }
+// LimitReached returns a channel that is closed once Config.BlackholeAfter has
+// blackholed a connection.
+func (r *Relay) LimitReached() <-chan struct{} { return r.limitReached }
 
-// DroppedBytes is the number of bytes of answers that silent connections lost.
+// DroppedBytes returns the number of answer bytes that blackholed connections
+// discarded.
 func (r *Relay) DroppedBytes() int64 { return r.dropped.Load() }
 
-// Connections is the number of connections so far.
+// Connections returns the number of connections accepted so far.
 func (r *Relay) Connections() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.made
+	return r.accepted
 }
 
-// SetFaults changes what goes wrong from now on.
-func (r *Relay) SetFaults(trouble Faults) { r.trouble.Store(&trouble) }
+// SetFaults replaces the faults for all connections.
+func (r *Relay) SetFaults(trouble Faults) { r.faults.Store(&trouble) }
 
-// Blackhole makes all connections so far silent.
+// Blackhole blackholes all open connections.
 func (r *Relay) Blackhole() {
 	for _, c := range r.open() {
-		c.silent.Store(true)
+		c.blackholed.Store(true)
 	}
 }
 
-// Reset resets all connections so far at both ends.
+// Reset resets all open connections on both sides.
 func (r *Relay) Reset() {
 	for _, c := range r.open() {
-		reset(c.near)
-		reset(c.far)
+		reset(c.client)
+		reset(c.target)
 	}
 }
 
@@ -133,65 +135,65 @@
 	return open
 }
 
-func (r *Relay) run() {
+func (r *Relay) acceptLoop() {
 	for {
-		near, err := r.listener.Accept()
+		client, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		go r.connect(near)
+		go r.connect(client)
 	}
 }
 
-func (r *Relay) connect(near net.Conn) {
-	far, err := net.Dial("tcp", string(r.config.Target))
+func (r *Relay) connect(client net.Conn) {
+	target, err := net.Dial("tcp", string(r.config.Target))
 	if err != nil {
-		reset(near)
+		reset(client)
 		return
 	}
-	c := &connection{relay: r, near: near, far: far}
+	c := &connection{relay: r, client: client, target: target}
 	r.mu.Lock()
-	r.made++
+	r.accepted++
 	r.connections[c] = true
 	r.mu.Unlock()
-	var ways sync.WaitGroup
-	ways.Go(func() { c.forward(near, far, func(data []byte) []byte { return data }, func(int) {}) })
-	ways.Go(func() { c.forward(far, near, r.limit(c), func(lost int) { r.dropped.Add(int64(lost)) }) })
-	ways.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { c.forward(client, target, func(data []byte) []byte { return data }, func(int) {}) })
+	directions.Go(func() { c.forward(target, client, r.blackholeFilter(c), func(lost int) { r.dropped.Add(int64(lost)) }) })
+	directions.Wait()
 	r.mu.Lock()
 	delete(r.connections, c)
 	r.mu.Unlock()
 }
 
-// limit returns a function that gives back what of an answer's next bytes is
-// still carried.
-func (r *Relay) limit(c *connection) func([]byte) []byte {
-	left := r.config.BlackholeAfter
+// blackholeFilter returns a function that truncates an answer's next bytes to
+// Config.BlackholeAfter in total and blackholes the connection there.
+func (r *Relay) blackholeFilter(c *connection) func([]byte) []byte {
+	remaining := r.config.BlackholeAfter
 	return func(data []byte) []byte {
 		if r.config.BlackholeAfter == 0 {
 			return data
 		}
-		if left < len(data) {
-			r.once.Do(func() {
-				c.silent.Store(true)
-				data = data[:max(0, left)]
-				close(r.limited)
+		if remaining < len(data) {
+			r.limitOnce.Do(func() {
+				c.blackholed.Store(true)
+				data = data[:max(0, remaining)]
+				close(r.limitReached)
 			})
 		}
-		left -= len(data)
+		remaining -= len(data)
 		return data
 	}
 }
 
-// forward copies from one end to the other until one closes. A silent
-// connection takes data and loses it.
-func (c *connection) forward(from, to net.Conn, carried func([]byte) []byte, lose func(int)) {
+// forward copies data from one side to the other until either closes. On a
+// blackholed connection it reads and discards data.
+func (c *connection) forward(from, to net.Conn, filter func([]byte) []byte, dropped func(int)) {
 	defer from.Close()
 	buffer := make([]byte, bufferSize)
 	for {
 		n, err := from.Read(buffer)
-		if c.silent.Load() {
-			lose(n)
+		if c.blackholed.Load() {
+			dropped(n)
 			if err != nil {
 				return
 			}
@@ -199,47 +201,48 @@
 		}
 		c.wait(to)
 		if err != nil {
-			end(to, err)
+			propagateClose(to, err)
 			return
 		}
-		if err := c.write(to, carried(buffer[:n])); err != nil {
-			reset(from) // what it has sent is lost, and it must not look like an end
+		if err := c.write(to, filter(buffer[:n])); err != nil {
+			reset(from) // data that it has sent is lost, so it must not see an orderly close
 			return
 		}
 	}
 }
 
-// wait delays or holds back what goes to the end.
+// wait applies delays and holds to data for the given side.
 func (c *connection) wait(to net.Conn) {
-	time.Sleep(c.relay.trouble.Load().Delay)
+	time.Sleep(c.relay.faults.Load().Delay)
 	for c.held(to) {
-		time.Sleep(holdPause)
+		time.Sleep(holdPollInterval)
 	}
 }
 
 func (c *connection) held(to net.Conn) bool {
-	trouble := c.relay.trouble.Load()
-	return (trouble.HoldToTarget && to == c.far) || (trouble.HoldFromTarget && to == c.near)
+	faults := c.relay.faults.Load()
+	return (faults.HoldToTarget && to == c.target) || (faults.HoldFromTarget && to == c.client)
 }
 
-// write writes the data, in small parts while it trickles.
+// write writes the data, in chunks of at most Faults.TrickleBytes.
 func (c *connection) write(to net.Conn, data []byte) error {
 	for len(data) > 0 {
-		part := data
-		if most := c.relay.trouble.Load().TrickleBytes; most > 0 && most < len(data) {
-			part = data[:most]
-			time.Sleep(tricklePause)
+		chunk := data
+		if maxBytes := c.relay.faults.Load().TrickleBytes; maxBytes > 0 && maxBytes < len(data) {
+			chunk = data[:maxBytes]
+			time.Sleep(trickleInterval)
 		}
-		if _, err := to.Write(part); err != nil {
+		if _, err := to.Write(chunk); err != nil {
 			return err
 		}
-		data = data[len(part):]
+		data = data[len(chunk):]
 	}
 	return nil
 }
 
-// end passes on how the other end was closed: a reset must not look like the end of the data.
-func end(to net.Conn, err error) {
+// propagateClose closes the connection as the other side was closed: a reset must
+// not look like an orderly end of the data.
+func propagateClose(to net.Conn, err error) {
 	if errors.Is(err, io.EOF) {
 		to.Close()
 		return
@@ -250,7 +253,7 @@
 // reset closes a connection with a reset.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // of a closed connection nothing is left to reset
+		_ = tcp.SetLinger(0) // fails only if the connection is closed already
 	}
 	conn.Close()
 }
--- a/internal/testrelay/relay_test.go
+++ b/internal/testrelay/relay_test.go
@@ -13,7 +13,7 @@
 )
 
 // pair returns the two ends of a connection through a relay.
-func pair(t *testing.T) (r *Relay, near, far net.Conn) {
+func pair(t *testing.T) (r *Relay, client, target net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -21,17 +21,17 @@
 	}
 	t.Cleanup(func() { listener.Close() })
 	r = Start(t, Config{Target: fleet.Address(listener.Addr().String())})
-	if near, err = net.Dial("tcp", string(r.Address())); err != nil {
+	if client, err = net.Dial("tcp", string(r.Address())); err != nil {
 		t.Fatal(err)
 	}
-	if far, err = listener.Accept(); err != nil {
+	if target, err = listener.Accept(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { near.Close(); far.Close() })
-	return r, near, far
+	t.Cleanup(func() { client.Close(); target.Close() })
+	return r, client, target
 }
 
-// send writes to one end and returns how long it takes until the other has it.
+// send writes to one end and returns the time until the other has received it.
 func send(t *testing.T, from, to net.Conn, text string) time.Duration {
 	t.Helper()
 	began := time.Now()
@@ -46,30 +46,30 @@
 	return time.Since(began)
 }
 
-func TestTrouble(t *testing.T) {
-	const lasts = 100 * time.Millisecond
+func TestFaults(t *testing.T) {
+	const faultDuration = 100 * time.Millisecond
 	for _, test := range []struct {
-		name     string
-		trouble  Faults
-		to, from bool // whether the way is slow
+		name             string
+		faults           Faults
+		slowTo, slowFrom bool // whether data to and from the target is slow
 	}{
 		{"none", Faults{}, false, false},
-		{"delay", Faults{Delay: lasts}, true, true},
+		{"delay", Faults{Delay: faultDuration}, true, true},
 		{"held to the target", Faults{HoldToTarget: true}, true, false},
 		{"held from the target", Faults{HoldFromTarget: true}, false, true},
 		{"trickle", Faults{TrickleBytes: 1}, true, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			r, near, far := pair(t)
-			for _, way := range []struct {
+			r, client, target := pair(t)
+			for _, direction := range []struct {
 				from, to net.Conn
 				slow     bool
-			}{{near, far, test.to}, {far, near, test.from}} {
-				r.SetFaults(test.trouble)
-				heal := time.AfterFunc(2*lasts, func() { r.SetFaults(Faults{}) })
-				took := send(t, way.from, way.to, "twenty bytes of text")
+			}{{client, target, test.slowTo}, {target, client, test.slowFrom}} {
+				r.SetFaults(test.faults)
+				heal := time.AfterFunc(2*faultDuration, func() { r.SetFaults(Faults{}) })
+				took := send(t, direction.from, direction.to, "twenty bytes of text")
 				heal.Stop()
-				if slow := took >= lasts; slow != way.slow {
+				if slow := took >= faultDuration; slow != direction.slow {
 					t.Errorf("took %v", took)
 				}
 			}
@@ -77,34 +77,34 @@
 	}
 }
 
-// TestResetIsNotAnEnd guards against a relay that turns a reset into an orderly end: an answer
-// without a length would look whole.
-func TestResetIsNotAnEnd(t *testing.T) {
+// TestResetIsNotAnOrderlyClose guards against a relay that turns a reset into an
+// orderly close: a truncated answer without a length would look complete.
+func TestResetIsNotAnOrderlyClose(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		act  func(r *Relay, far net.Conn)
+		act  func(r *Relay, target net.Conn)
 	}{
-		{"by the target", func(_ *Relay, far net.Conn) { reset(far) }},
+		{"by the target", func(_ *Relay, target net.Conn) { reset(target) }},
 		{"by the relay", func(r *Relay, _ net.Conn) { r.Reset() }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			r, near, far := pair(t)
-			send(t, near, far, "x")
-			test.act(r, far)
-			_ = near.SetReadDeadline(time.Now().Add(5 * time.Second))
-			if _, err := near.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
+			r, client, target := pair(t)
+			send(t, client, target, "x")
+			test.act(r, target)
+			_ = client.SetReadDeadline(time.Now().Add(5 * time.Second))
+			if _, err := client.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 				t.Errorf("error %v", err)
 			}
 		})
 	}
 }
 
-func TestEndIsPassedOn(t *testing.T) {
-	_, near, far := pair(t)
-	send(t, far, near, "x")
-	far.Close()
-	_ = near.SetReadDeadline(time.Now().Add(5 * time.Second))
-	if _, err := near.Read(make([]byte, 1)); err != io.EOF {
+func TestOrderlyCloseIsPassedOn(t *testing.T) {
+	_, client, target := pair(t)
+	send(t, target, client, "x")
+	target.Close()
+	_ = client.SetReadDeadline(time.Now().Add(5 * time.Second))
+	if _, err := client.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("error %v", err)
 	}
 }
