--- a/internal/testseed/testseed.go
+++ b/internal/testseed/testseed.go
@@ -1,5 +1,5 @@
-// Package testseed fixes what rapid draws, so that a package's drawn tests give
-// the same verdict each time. Only tests use it.
+// Package testseed fixes rapid's seed, so that a package's property-based tests
+// give the same result in every run. Only tests use it.
 package testseed
 
 import (
@@ -8,22 +8,22 @@
 	"testing"
 )
 
-// Flag is one of rapid's flags with its value.
+// Flag is a command-line flag of rapid with its value.
 type Flag struct {
 	Name  string
 	Value string
 }
 
-// seed is the flag that all packages share.
+// seed is the flag that is set for all packages.
 var seed = Flag{Name: "rapid.seed", Value: "1"}
 
-// NoFailFile keeps rapid from writing the draws of a failed test into the
-// source tree; with a fixed seed they come again by themselves.
+// NoFailFile keeps rapid from writing the inputs of a failed test into the source
+// tree. The fixed seed reproduces them anyway.
 var NoFailFile = Flag{Name: "rapid.nofailfile", Value: "true"}
 
-// Run is the body of a package's TestMain: it sets the seed and the given
-// flags, runs the tests and ends the process with their status. Flags on the
-// command line go first. A flag that does not exist panics.
+// Run is the body of a package's TestMain: it sets the seed and the given flags,
+// runs the tests and exits with their status. Flags on the command line take
+// precedence. Run panics if a flag does not exist.
 func Run(m *testing.M, flags ...Flag) {
 	for _, f := range append([]Flag{seed}, flags...) {
 		if err := flag.Set(f.Name, f.Value); err != nil {
