--- a/internal/load/answer.go
+++ b/internal/load/answer.go
@@ -10,24 +10,24 @@
 	"github.com/bluebellchute/bluebellchute/internal/engine"
 )
 
-// Verdict tells how a request ended for its caller.
+// Verdict is the outcome of a request as its caller sees it.
 type Verdict string
 
-// The verdicts. Lost answers are those from VerdictNoReply on.
+// The verdicts. Answers count as lost from VerdictNoReply on.
 const (
-	VerdictWhole   Verdict = "whole"    // complete and the caller's own
-	VerdictRefused Verdict = "refused"  // said not to have run
-	VerdictUnknown Verdict = "unknown"  // said to have run perhaps
-	VerdictError   Verdict = "error"    // a 4xx that is no refusal
-	VerdictFailed  Verdict = "failed"   // a stream that ended in a visible error
+	VerdictWhole   Verdict = "whole"    // complete, and the answer to this request
+	VerdictRefused Verdict = "refused"  // reported as not run
+	VerdictUnknown Verdict = "unknown"  // reported as possibly run
+	VerdictError   Verdict = "error"    // another error status
+	VerdictFailed  Verdict = "failed"   // a stream that ended with an error event
 	VerdictNoReply Verdict = "no-reply" // the connection ended without an answer
-	VerdictCut     Verdict = "cut"      // the answer stopped without its end
-	VerdictDamaged Verdict = "damaged"  // a gap, a repeat or other content
+	VerdictCut     Verdict = "cut"      // the answer was truncated
+	VerdictDamaged Verdict = "damaged"  // missing, repeated or other content
 	VerdictForeign Verdict = "foreign"  // the answer to another request
 )
 
-// Lost tells whether the caller was left without a whole answer or a word on
-// what became of its request.
+// Lost reports whether the caller received neither a complete answer nor an
+// error that says what happened to its request.
 func (v Verdict) Lost() bool {
 	switch v {
 	case VerdictNoReply, VerdictCut, VerdictDamaged, VerdictForeign:
@@ -37,14 +37,14 @@
 	}
 }
 
-// Lines of a stream of server-sent events.
+// Prefixes and data of lines in a stream of server-sent events.
 var (
 	dataPrefix  = []byte("data: ")
 	errorPrefix = []byte("event: error")
 	doneData    = []byte("[DONE]")
 )
 
-// chunk is the part of a streamed or whole answer that is checked.
+// chunk holds the fields of a streamed chunk or a complete answer that are checked.
 type chunk struct {
 	ID          string       `json:"id"`
 	Fingerprint string       `json:"system_fingerprint"`
@@ -78,7 +78,7 @@
 	return c.Choices[0].Delta.Content + c.Choices[0].Message.Content
 }
 
-// answerReader checks an answer while it comes in.
+// answerReader checks an answer while reading it.
 type answerReader struct {
 	request call
 	onToken func(time.Time)
@@ -97,17 +97,17 @@
 		if err != nil {
 			return VerdictCut
 		}
-		r.takeLine(bytes.TrimSpace(line))
+		r.handleLine(bytes.TrimSpace(line))
 	}
-	// The rest must be read for the connection to be used again.
+	// The connection is reused only if the body is read to its end.
 	_, _ = io.Copy(io.Discard, lines)
 	if r.failed {
 		return VerdictFailed
 	}
-	return r.judge()
+	return r.verdict()
 }
 
-func (r *answerReader) takeLine(line []byte) {
+func (r *answerReader) handleLine(line []byte) {
 	if bytes.HasPrefix(line, errorPrefix) {
 		r.failed = true
 		return
@@ -120,10 +120,10 @@
 		r.done = true
 		return
 	}
-	r.takeChunk(data)
+	r.handleChunk(data)
 }
 
-func (r *answerReader) takeChunk(data []byte) {
+func (r *answerReader) handleChunk(data []byte) {
 	var c chunk
 	if err := json.Unmarshal(data, &c); err != nil {
 		return
@@ -144,14 +144,14 @@
 	}
 }
 
-// readWhole reads an answer in one piece.
-func (r *answerReader) readWhole(body io.Reader) Verdict {
+// readDocument reads an answer that is not streamed.
+func (r *answerReader) readDocument(body io.Reader) Verdict {
 	data, err := io.ReadAll(body)
 	if err != nil {
 		return VerdictCut
 	}
-	r.takeChunk(data)
-	return r.judge()
+	r.handleChunk(data)
+	return r.verdict()
 }
 
 // readPlain reads the answer of a plain service.
@@ -171,8 +171,8 @@
 	return VerdictWhole
 }
 
-// judge compares the text with the one that the engine makes for the id.
-func (r *answerReader) judge() Verdict {
+// verdict compares the text with the one that the engine generates for the id.
+func (r *answerReader) verdict() Verdict {
 	if r.foreign {
 		return VerdictForeign
 	}
--- a/internal/load/client.go
+++ b/internal/load/client.go
@@ -10,7 +10,7 @@
 	"github.com/bluebellchute/bluebellchute/internal/fleet"
 )
 
-// Headers of the callers' interface.
+// Headers of the routers' interface for callers.
 const (
 	headerOutcome   = "Bluebell-Outcome"
 	headerRequest   = "Bluebell-Request"
@@ -19,21 +19,21 @@
 	headerRequestID = "X-Request-Id"
 )
 
-// maxConnections bounds the connections to one router.
+// maxConnections is the maximum number of connections to a router.
 const maxConnections = 1 << 15
 
-// Result is what the client recorded of one request.
+// Result is the client's record of a request.
 type Result struct {
-	Stream   int // place in the scenario's list of streams
-	ID       string
-	Verdict  Verdict
-	Status   int
-	Outcome  fleet.Outcome
-	Sent     time.Time
-	First    time.Time // first token, or the answer's end
-	Answered time.Time
-	Between  []time.Duration // between tokens, as they came in
-	Retry    time.Duration   // Retry-After
+	Stream     int // index in the scenario's list of streams
+	ID         string
+	Verdict    Verdict
+	Status     int
+	Outcome    fleet.Outcome
+	Sent       time.Time
+	First      time.Time // first token, or else the answer's end
+	Answered   time.Time
+	TokenGaps  []time.Duration // times between tokens
+	RetryAfter time.Duration   // from the Retry-After header
 }
 
 // client sends requests to the routers.
@@ -49,8 +49,8 @@
 			StreamResponseBody:  true,
 			MaxConnsPerHost:     maxConnections,
 			MaxIdleConnDuration: time.Minute,
-			// A resend by the library would be a second request of the
-			// caller's own and would blur what the system did.
+			// A retry by the library would look like a second request of the
+			// caller and hide how the routers handled the first.
 			MaxIdemponentCallAttempts: 1,
 		},
 	}
@@ -96,7 +96,7 @@
 	httpRequest.SetBodyRaw(request.body)
 }
 
-// readResponse reads and judges an answer.
+// readResponse reads an answer and sets the result's verdict.
 func readResponse(result *Result, request call, response *fasthttp.Response) {
 	result.Status = response.StatusCode()
 	result.Outcome = fleet.Outcome(response.Header.Peek(headerOutcome))
@@ -105,7 +105,7 @@
 		readRefusal(result, response)
 		return
 	}
-	reader := answerReader{request: request, onToken: result.token()}
+	reader := answerReader{request: request, onToken: result.tokenRecorder()}
 	body := response.BodyStream()
 	if body == nil {
 		body = bytes.NewReader(response.Body())
@@ -114,7 +114,7 @@
 	case request.stream.Plain:
 		result.Verdict = reader.readPlain(body)
 	case request.stream.Whole:
-		result.Verdict = reader.readWhole(body)
+		result.Verdict = reader.readDocument(body)
 	default:
 		result.Verdict = reader.readStream(body)
 	}
@@ -123,14 +123,14 @@
 	}
 }
 
-// token returns the function that notes the time of each token.
-func (r *Result) token() func(time.Time) {
+// tokenRecorder returns a function that records the time of each token.
+func (r *Result) tokenRecorder() func(time.Time) {
 	var last time.Time
 	return func(now time.Time) {
 		if r.First.IsZero() {
 			r.First = now
 		} else {
-			r.Between = append(r.Between, now.Sub(last))
+			r.TokenGaps = append(r.TokenGaps, now.Sub(last))
 		}
 		last = now
 	}
@@ -138,8 +138,8 @@
 
 func readRefusal(result *Result, response *fasthttp.Response) {
 	seconds, _ := strconv.ParseFloat(string(response.Header.Peek("Retry-After")), 64)
-	result.Retry = time.Duration(seconds * float64(time.Second))
-	_ = response.Body() // read to the end, so that the connection is used again
+	result.RetryAfter = time.Duration(seconds * float64(time.Second))
+	_ = response.Body() // read to the end, so that the connection is reused
 	switch {
 	case result.Outcome == fleet.OutcomeNotRun:
 		result.Verdict = VerdictRefused
--- a/internal/load/engines.go
+++ b/internal/load/engines.go
@@ -13,7 +13,7 @@
 	"github.com/bluebellchute/bluebellchute/internal/fleet"
 )
 
-// engineRecord is one engine with its ledger.
+// engineRecord is an engine with its ledger.
 type engineRecord struct {
 	service string
 	address fleet.Address
@@ -21,7 +21,7 @@
 	runs    []engine.Run
 }
 
-// readEngines asks every engine for its slots.
+// readEngines reads the number of slots of every engine.
 func readEngines(services []ServiceSection) ([]*engineRecord, error) {
 	var records []*engineRecord
 	for _, service := range services {
@@ -40,7 +40,7 @@
 	return records, nil
 }
 
-// readLedgers reads the runs since a time from every engine.
+// readLedgers reads the runs since the time given from every engine.
 func readLedgers(records []*engineRecord, since time.Time) error {
 	for _, record := range records {
 		body, err := get(record.address, "/ledger?since_ns="+strconv.FormatInt(since.UnixNano(), 10))
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// getTimeout bounds one reading of an engine or node.
+// getTimeout limits a request to an engine or node.
 const getTimeout = 10 * time.Second
 
 func get(address fleet.Address, path string) ([]byte, error) {
--- a/internal/load/fairness.go
+++ b/internal/load/fairness.go
@@ -5,75 +5,75 @@
 	"slices"
 )
 
-// Gap is the largest difference of service between two accounts.
+// FairnessGap is the largest difference of service between two accounts.
 //
-// An account is backlogged in a cell of the window when at least one of its
-// requests waited at every moment of the cell: sent by the client, and not yet
-// begun by an engine. For two accounts and a span of cells in which both are
-// backlogged throughout, the gap is the largest change, between any two
-// moments of the span, of the difference of what the two received divided by
-// their weights. The result is the largest over all pairs and spans.
-type Gap struct {
+// An account is backlogged in a cell of the window if at every time in the cell
+// at least one of its requests was waiting: sent by the client and not yet
+// started by an engine. For two accounts and a span of cells in which both are
+// backlogged throughout, the gap is the largest change, between any two times in
+// the span, of the difference between their service divided by their weights.
+// The result is the largest gap over all pairs and spans.
+type FairnessGap struct {
 	Units          float64 // cost units per weight
 	Accounts       [2]int
-	From, To       int64   // the span's part over which the gap grew
-	LargestRequest float64 // cost of the costliest request that ran
+	From, To       int64   // when the gap grew
+	LargestRequest float64 // highest cost of a request that ran
 }
 
-// InLargestRequests is the gap in multiples of the costliest request.
-func (g Gap) InLargestRequests() float64 {
+// InLargestRequests returns the gap as a multiple of LargestRequest.
+func (g FairnessGap) InLargestRequests() float64 {
 	if g.LargestRequest == 0 {
 		return 0
 	}
 	return g.Units / g.LargestRequest
 }
 
-// Shares holds the curves from which fairness figures are read.
-type Shares struct {
+// ServiceCurves holds the cumulative service and the backlog of each account.
+type ServiceCurves struct {
 	window     Window
-	curves     [][]float64 // service per weight at each cell's begin, by account
+	curves     [][]float64 // by account: service per weight up to the start of each cell
 	backlogged [][]bool    // by account and cell
 	largest    float64
 }
 
-// NewShares builds the service curves and backlogs. weights gives the weight
-// of each account.
-func NewShares(window Window, weights []float64, works []Work) *Shares {
-	s := &Shares{window: window}
+// NewServiceCurves computes the service curves and backlogs. weights holds the
+// weight of each account.
+func NewServiceCurves(window Window, weights []float64, requests []RequestRecord) *ServiceCurves {
+	s := &ServiceCurves{window: window}
 	for range weights {
 		s.curves = append(s.curves, make([]float64, window.cells()+1))
 		s.backlogged = append(s.backlogged, nil)
 	}
-	for _, work := range works {
-		s.addService(work, weights[work.Account])
+	for _, request := range requests {
+		s.addService(request, weights[request.Account])
 	}
 	for account := range weights {
-		s.backlogged[account] = backlog(window, account, works)
+		s.backlogged[account] = backlog(window, account, requests)
 	}
 	return s
 }
 
 // addService adds one request to its account's curve.
-func (s *Shares) addService(work Work, weight float64) {
-	if !work.ran() {
+func (s *ServiceCurves) addService(request RequestRecord, weight float64) {
+	if !request.ran() {
 		return
 	}
-	s.largest = max(s.largest, work.Cost())
-	curve := s.curves[work.Account]
-	base := work.served(s.window.From)
-	for cell := max(0, s.window.cellOf(work.Began)); cell < len(curve); cell++ {
-		curve[cell] += (work.served(s.window.at(cell)) - base) / weight
+	s.largest = max(s.largest, request.Cost())
+	curve := s.curves[request.Account]
+	base := request.served(s.window.From)
+	for cell := max(0, s.window.cellOf(request.Started)); cell < len(curve); cell++ {
+		curve[cell] += (request.served(s.window.at(cell)) - base) / weight
 	}
 }
 
-// backlog tells for each cell whether the account was backlogged throughout.
-func backlog(window Window, account int, works []Work) []bool {
+// backlog returns for each cell whether the account was backlogged throughout.
+func backlog(window Window, account int, requests []RequestRecord) []bool {
 	var changes []change
-	for _, work := range works {
-		if work.Account != account || work.waitEnd() <= work.Sent {
+	for _, request := range requests {
+		if request.Account != account || request.waitEnd() <= request.Sent {
 			continue
 		}
-		changes = append(changes, change{work.Sent, 1}, change{work.waitEnd(), -1})
+		changes = append(changes, change{request.Sent, 1}, change{request.waitEnd(), -1})
 	}
 	slices.SortFunc(changes, compareChanges)
 	cells := make([]bool, window.cells())
@@ -94,7 +94,7 @@
 	return cells
 }
 
-// clearCells marks the cells that an idle span touches.
+// clearCells marks the cells that overlap an idle span as not backlogged.
 func clearCells(window Window, cells []bool, from, to int64) {
 	if to <= from {
 		return
@@ -109,8 +109,8 @@
 }
 
 // Gap returns the fairness gap over all pairs of accounts.
-func (s *Shares) Gap() Gap {
-	var worst Gap
+func (s *ServiceCurves) Gap() FairnessGap {
+	var worst FairnessGap
 	for a := range s.curves {
 		for b := a + 1; b < len(s.curves); b++ {
 			if gap := s.pairGap(a, b); gap.Units > worst.Units {
@@ -122,10 +122,10 @@
 	return worst
 }
 
-// pairGap is the gap between two accounts: within each span, the difference's
-// largest value less its least one.
-func (s *Shares) pairGap(a, b int) Gap {
-	worst := Gap{Accounts: [2]int{a, b}}
+// pairGap returns the gap between two accounts: the largest range of the service
+// difference within a span.
+func (s *ServiceCurves) pairGap(a, b int) FairnessGap {
+	worst := FairnessGap{Accounts: [2]int{a, b}}
 	open := false
 	var lowest, highest float64
 	var lowestAt, highestAt int64
@@ -156,15 +156,15 @@
 	return worst
 }
 
-// LowestShare is the least part of its fair share that any account received
-// over any stretch of the given number of cells in which it was backlogged
-// throughout. The fair share is the mean of service per weight over the
-// accounts that were backlogged throughout the stretch. It is 1 when no two
-// accounts were.
-func (s *Shares) LowestShare(stretch int) (share float64, account int) {
+// LowestShare returns the smallest fraction of its fair share that any account
+// received over a stretch of the given number of cells in which it was backlogged
+// throughout. The fair share is the mean service per weight of the accounts that
+// were backlogged throughout the stretch. Without two such accounts, the result
+// is 1.
+func (s *ServiceCurves) LowestShare(stretch int) (share float64, account int) {
 	share = 1
 	for cell := 0; cell+stretch <= s.window.cells(); cell += max(1, stretch/4) {
-		received := s.received(cell, cell+stretch)
+		received := s.serviceOver(cell, cell+stretch)
 		mean := 0.0
 		for _, one := range received {
 			mean += one.units / float64(len(received))
@@ -178,18 +178,19 @@
 	return share, account
 }
 
-// receipt is what an account received over a stretch, per weight.
-type receipt struct {
+// accountService is the service per weight of an account over a stretch.
+type accountService struct {
 	account int
 	units   float64
 }
 
-// received lists the accounts that were backlogged from one cell to another.
-func (s *Shares) received(from, to int) []receipt {
-	var all []receipt
+// serviceOver returns the service of the accounts that were backlogged throughout
+// the cells [from, to).
+func (s *ServiceCurves) serviceOver(from, to int) []accountService {
+	var all []accountService
 	for account, backlogged := range s.backlogged {
 		if allTrue(backlogged[from:to]) {
-			all = append(all, receipt{account, s.curves[account][to] - s.curves[account][from]})
+			all = append(all, accountService{account, s.curves[account][to] - s.curves[account][from]})
 		}
 	}
 	return all
--- a/internal/load/figures_test.go
+++ b/internal/load/figures_test.go
@@ -9,98 +9,98 @@
 
 const second = int64(1e9)
 
-// window is ten seconds in cells of a tenth of a second.
+// window is ten seconds long, with cells of 100 ms.
 var window = Window{From: 100 * second, To: 110 * second, Cell: second / 10}
 
-// served is a run of a request that waited from sent on.
-func served(account, engine int, sent, began, ended int64, cost float64) Work {
-	return Work{Account: account, Engine: engine, Sent: sent, Began: began, First: began, Ended: ended, Answered: ended, OutputCost: cost}
+// served returns a request that ran after waiting from sent.
+func served(account, engine int, sent, began, ended int64, cost float64) RequestRecord {
+	return RequestRecord{Account: account, Engine: engine, Sent: sent, Started: began, FirstToken: began, Ended: ended, Answered: ended, OutputCost: cost}
 }
 
-// backloggedAll is a request of the account that waits over the whole window.
-func backloggedAll(account int) Work {
-	return Work{Account: account, Sent: window.From - second, Answered: window.To + second}
+// backloggedAll returns a request of the account that waits for the entire window.
+func backloggedAll(account int) RequestRecord {
+	return RequestRecord{Account: account, Sent: window.From - second, Answered: window.To + second}
 }
 
-// drawWorks draws runs of one account with random times and costs.
-func drawWorks(t *rapid.T, account int) []Work {
-	var works []Work
+// drawRequests returns runs of one account with random times and costs.
+func drawRequests(t *rapid.T, account int) []RequestRecord {
+	var requests []RequestRecord
 	for range rapid.IntRange(0, 20).Draw(t, "runs") {
 		sent := window.From + rapid.Int64Range(-2*second, 10*second).Draw(t, "sent")
 		began := sent + rapid.Int64Range(1, 3*second).Draw(t, "wait")
 		ended := began + rapid.Int64Range(1, 4*second).Draw(t, "run")
-		works = append(works, served(account, 0, sent, began, ended, rapid.Float64Range(0, 1000).Draw(t, "cost")))
+		requests = append(requests, served(account, 0, sent, began, ended, rapid.Float64Range(0, 1000).Draw(t, "cost")))
 	}
-	return works
+	return requests
 }
 
 func near(a, b float64) bool { return math.Abs(a-b) <= 1e-6*max(1, math.Abs(a), math.Abs(b)) }
 
 func TestGapOfKnownCurves(t *testing.T) {
-	// Account 0 gets 100 units a second, account 1 gets 50; weights 1 and 1,
-	// or 2 and 1, which makes it fair.
-	works := []Work{
+	// Account 0 gets 100 units per second, account 1 gets 50. This is fair for
+	// the weights 2 and 1, but not for equal weights.
+	requests := []RequestRecord{
 		backloggedAll(0), backloggedAll(1),
 		served(0, 0, window.From, window.From, window.To, 1000),
 		served(1, 0, window.From, window.From, window.To, 500),
 	}
 	for weight, want := range map[float64]float64{1: 500, 2: 0} {
-		gap := NewShares(window, []float64{weight, 1}, works).Gap()
+		gap := NewServiceCurves(window, []float64{weight, 1}, requests).Gap()
 		if !near(gap.Units, want) || gap.LargestRequest != 1000 {
 			t.Errorf("weight %v: gap %+v, want %v units", weight, gap, want)
 		}
 	}
-	share, account := NewShares(window, []float64{1, 1}, works).LowestShare(10)
+	share, account := NewServiceCurves(window, []float64{1, 1}, requests).LowestShare(10)
 	if !near(share, 50.0/75) || account != 1 {
 		t.Errorf("lowest share %v of %d", share, account)
 	}
 }
 
 // TestGapCountsOnlyBackloggedSpans gives account 1 nothing in the first half,
-// while it has nothing waiting, and an equal part in the second half.
+// while it has no request waiting, and an equal share in the second half.
 func TestGapCountsOnlyBackloggedSpans(t *testing.T) {
 	half := window.From + 5*second
-	works := []Work{
+	requests := []RequestRecord{
 		backloggedAll(0),
 		{Account: 1, Sent: half, Answered: window.To + second},
 		served(0, 0, window.From, window.From, window.To, 1000),
 		served(1, 0, half, half, window.To, 500),
 	}
-	if gap := NewShares(window, []float64{1, 1}, works).Gap(); !near(gap.Units, 0) {
-		t.Errorf("gap %+v over a span in which one account had nothing waiting", gap)
+	if gap := NewServiceCurves(window, []float64{1, 1}, requests).Gap(); !near(gap.Units, 0) {
+		t.Errorf("gap %+v over a span in which one account had no request waiting", gap)
 	}
 }
 
 func TestGapProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := []float64{1, 1}
-		first, second := drawWorks(t, 0), drawWorks(t, 1)
-		mirrored := make([]Work, 0, len(first))
-		for _, work := range first {
-			work.Account = 1
-			mirrored = append(mirrored, work)
+		first, second := drawRequests(t, 0), drawRequests(t, 1)
+		mirrored := make([]RequestRecord, 0, len(first))
+		for _, request := range first {
+			request.Account = 1
+			mirrored = append(mirrored, request)
 		}
-		if gap := NewShares(window, weights, append(mirrored, first...)).Gap(); !near(gap.Units, 0) {
+		if gap := NewServiceCurves(window, weights, append(mirrored, first...)).Gap(); !near(gap.Units, 0) {
 			t.Fatalf("equal curves have a gap of %v", gap.Units)
 		}
-		all := append(append([]Work{backloggedAll(0), backloggedAll(1)}, first...), second...)
-		gap := NewShares(window, weights, all).Gap()
-		swapped := make([]Work, 0, len(all))
-		scaled := make([]Work, 0, len(all))
-		for _, work := range all {
-			work.Account = 1 - work.Account
-			swapped = append(swapped, work)
-			work.OutputCost *= 3
-			scaled = append(scaled, work)
+		all := append(append([]RequestRecord{backloggedAll(0), backloggedAll(1)}, first...), second...)
+		gap := NewServiceCurves(window, weights, all).Gap()
+		swapped := make([]RequestRecord, 0, len(all))
+		scaled := make([]RequestRecord, 0, len(all))
+		for _, request := range all {
+			request.Account = 1 - request.Account
+			swapped = append(swapped, request)
+			request.OutputCost *= 3
+			scaled = append(scaled, request)
 		}
-		if other := NewShares(window, weights, swapped).Gap(); !near(other.Units, gap.Units) {
+		if other := NewServiceCurves(window, weights, swapped).Gap(); !near(other.Units, gap.Units) {
 			t.Fatalf("gap %v, with the accounts swapped %v", gap.Units, other.Units)
 		}
-		if other := NewShares(window, weights, scaled).Gap(); !near(other.Units, 3*gap.Units) {
-			t.Fatalf("gap %v, with all costs threefold %v", gap.Units, other.Units)
+		if other := NewServiceCurves(window, weights, scaled).Gap(); !near(other.Units, 3*gap.Units) {
+			t.Fatalf("gap %v, with all costs tripled %v", gap.Units, other.Units)
 		}
-		// Without requests that wait throughout, the spans can only shrink.
-		if other := NewShares(window, weights, all[2:]).Gap(); other.Units > gap.Units+1e-6 {
+		// Without the requests that wait throughout, spans can only become shorter.
+		if other := NewServiceCurves(window, weights, all[2:]).Gap(); other.Units > gap.Units+1e-6 {
 			t.Fatalf("gap %v grew to %v with shorter spans", gap.Units, other.Units)
 		}
 	})
@@ -110,20 +110,20 @@
 	from, half := window.From, window.From+5*second
 	tests := []struct {
 		name  string
-		works []Work
-		want  Usage
+		works []RequestRecord
+		want  SlotUsage
 	}{
-		{"nothing waits", []Work{served(0, 0, from, from, window.To, 1)}, Usage{}},
-		{"one of two slots is busy for half of the time", []Work{backloggedAll(0), served(0, 0, from, from, half, 1)},
-			Usage{WaitingSeconds: 10, Utilisation: 0.25, IdleWhileWaiting: 0.5}},
-		{"more runs than slots count as the slots", []Work{backloggedAll(0), backloggedAll(0),
+		{"nothing waits", []RequestRecord{served(0, 0, from, from, window.To, 1)}, SlotUsage{}},
+		{"one of two slots is busy for half of the time", []RequestRecord{backloggedAll(0), served(0, 0, from, from, half, 1)},
+			SlotUsage{WaitingSeconds: 10, Utilisation: 0.25, IdleWhileWaiting: 0.5}},
+		{"more runs than slots count as the slots", []RequestRecord{backloggedAll(0), backloggedAll(0),
 			served(0, 0, from, from, half, 1), served(0, 0, from, from, half, 1), served(0, 0, from, from, half, 1)},
-			Usage{WaitingSeconds: 10, Utilisation: 0.5, IdleWhileWaiting: 0.5}},
-		{"a request waits from its sending to its run", []Work{served(0, 0, from, half, window.To, 1)},
-			Usage{WaitingSeconds: 5, IdleWhileWaiting: 0.25}},
+			SlotUsage{WaitingSeconds: 10, Utilisation: 0.5, IdleWhileWaiting: 0.5}},
+		{"a request waits from its sending to its run", []RequestRecord{served(0, 0, from, half, window.To, 1)},
+			SlotUsage{WaitingSeconds: 5, IdleWhileWaiting: 0.25}},
 	}
 	for _, test := range tests {
-		got := NewUsage(window, []int{2}, test.works)
+		got := NewSlotUsage(window, []int{2}, test.works)
 		if !near(got.WaitingSeconds, test.want.WaitingSeconds) || !near(got.Utilisation, test.want.Utilisation) ||
 			!near(got.IdleWhileWaiting, test.want.IdleWhileWaiting) {
 			t.Errorf("%s: %+v, want %+v", test.name, got, test.want)
@@ -134,7 +134,7 @@
 func TestUsageStaysWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slots := []int{rapid.IntRange(1, 4).Draw(t, "slots")}
-		usage := NewUsage(window, slots, drawWorks(t, 0))
+		usage := NewSlotUsage(window, slots, drawRequests(t, 0))
 		if usage.Utilisation < 0 || usage.Utilisation > 1+1e-9 || usage.IdleWhileWaiting < 0 ||
 			usage.IdleWhileWaiting > 1-usage.Utilisation+1e-9 && usage.WaitingSeconds > 9.999 {
 			t.Fatalf("%+v", usage)
--- a/internal/load/nodes.go
+++ b/internal/load/nodes.go
@@ -21,11 +21,11 @@
 	labelClass         = "class"
 )
 
-// scrapeClass is the class of the readings of metrics and health, which are
-// not messages between the system's own processes.
+// scrapeClass is the class of requests for metrics and health, which are not
+// control messages between the system's processes.
 const scrapeClass = "scrape"
 
-// sample is one reading of a node's metrics.
+// sample holds the values of a node's metrics at one time.
 type sample struct {
 	bytesByClass map[string]float64
 	cpuSeconds   float64
@@ -43,40 +43,40 @@
 	if err != nil {
 		return sample{}, err
 	}
-	bytesByClass := byLabel(families[metricControlBytes], labelClass)
+	bytesByClass := sumByLabel(families[metricControlBytes], labelClass)
 	delete(bytesByClass, scrapeClass)
 	return sample{
 		bytesByClass: bytesByClass,
-		cpuSeconds:   first(families[metricCPU]),
-		memory:       first(families[metricMemory]),
+		cpuSeconds:   firstValue(families[metricCPU]),
+		memory:       firstValue(families[metricMemory]),
 	}, nil
 }
 
-// byLabel sums a family's values by one label.
-func byLabel(family *dto.MetricFamily, label string) map[string]float64 {
+// sumByLabel sums a family's values by the value of a label.
+func sumByLabel(family *dto.MetricFamily, label string) map[string]float64 {
 	sums := make(map[string]float64)
 	for _, metric := range family.GetMetric() {
 		for _, pair := range metric.GetLabel() {
 			if pair.GetName() == label {
-				sums[pair.GetValue()] += value(metric)
+				sums[pair.GetValue()] += metricValue(metric)
 			}
 		}
 	}
 	return sums
 }
 
-func first(family *dto.MetricFamily) float64 {
+func firstValue(family *dto.MetricFamily) float64 {
 	for _, metric := range family.GetMetric() {
-		return value(metric)
+		return metricValue(metric)
 	}
 	return 0
 }
 
-func value(metric *dto.Metric) float64 {
+func metricValue(metric *dto.Metric) float64 {
 	return metric.GetCounter().GetValue() + metric.GetGauge().GetValue() + metric.GetUntyped().GetValue()
 }
 
-// Spread is a figure over the nodes of a role.
+// Spread is the distribution of a figure over the nodes of a role.
 type Spread struct {
 	Median float64 `json:"median"`
 	Max    float64 `json:"max"`
@@ -90,38 +90,39 @@
 	return Spread{Median: values[len(values)/2], Max: values[len(values)-1]}
 }
 
-// RoleUsage is what the nodes of a role used during the measured time.
-type RoleUsage struct {
+// RoleReport is the resource usage of a role's nodes during the measured time.
+type RoleReport struct {
 	Nodes        int                `json:"nodes"`
-	NotRead      int                `json:"not_read,omitempty"` // nodes without both readings
+	NotRead      int                `json:"not_read,omitempty"` // nodes without a valid reading at both ends
 	ControlBytes Spread             `json:"control_bytes_per_second"`
 	ByClass      map[string]float64 `json:"control_bytes_per_second_by_class"` // mean over the nodes
 	CPUPercent   Spread             `json:"cpu_percent_of_a_core"`
 	MemoryMB     Spread             `json:"memory_mb"`
 }
 
-// NodeUsage is the usage of both roles. Bytes count both directions.
-type NodeUsage struct {
-	Routers RoleUsage `json:"routers"`
-	Agents  RoleUsage `json:"agents"`
+// NodeReport is the resource usage by role. Bytes count in both directions.
+type NodeReport struct {
+	Routers RoleReport `json:"routers"`
+	Agents  RoleReport `json:"agents"`
 }
 
-// watchNodes reads all nodes at the begin and the end of the measured time.
-func watchNodes(ctx context.Context, section FleetSection, from, to time.Time) <-chan NodeUsage {
-	result := make(chan NodeUsage, 1)
+// sampleNodes reads the metrics of all nodes at the start and the end of the
+// measured time.
+func sampleNodes(ctx context.Context, section FleetSection, from, to time.Time) <-chan NodeReport {
+	result := make(chan NodeReport, 1)
 	go func() {
 		sleepUntil(ctx, from)
 		routers, agents := readNodes(section.RouterControl), readNodes(section.AgentControl)
 		sleepUntil(ctx, to)
-		result <- NodeUsage{
-			Routers: roleUsage(section.RouterControl, routers),
-			Agents:  roleUsage(section.AgentControl, agents),
+		result <- NodeReport{
+			Routers: newRoleReport(section.RouterControl, routers),
+			Agents:  newRoleReport(section.AgentControl, agents),
 		}
 	}()
 	return result
 }
 
-// reading is a sample with its time; err tells why there is none.
+// reading is a sample with its time, or the error from reading it.
 type reading struct {
 	sample
 	at  time.Time
@@ -137,10 +138,10 @@
 	return readings
 }
 
-// roleUsage reads the nodes again and works out rates. A node that restarted
-// in between, which its falling CPU time shows, is left out.
-func roleUsage(addresses []fleet.Address, before []reading) RoleUsage {
-	usage := RoleUsage{Nodes: len(addresses), ByClass: make(map[string]float64)}
+// newRoleReport reads the nodes again and computes rates. It leaves out nodes whose
+// CPU time has decreased, since they have restarted.
+func newRoleReport(addresses []fleet.Address, before []reading) RoleReport {
+	usage := RoleReport{Nodes: len(addresses), ByClass: make(map[string]float64)}
 	var bytesRates, cpus, memories []float64
 	for i, after := range readNodes(addresses) {
 		earlier := before[i]
--- a/internal/load/nodes_test.go
+++ b/internal/load/nodes_test.go
@@ -11,7 +11,7 @@
 	"github.com/bluebellchute/bluebellchute/internal/fleet"
 )
 
-// fakeNode serves metrics whose counters grow with each reading.
+// fakeNode serves metrics whose counters increase with each reading.
 func fakeNode(t *testing.T, cpu func(reading int) float64) fleet.Address {
 	t.Helper()
 	reading := 0
@@ -28,9 +28,9 @@
 	return fleet.Address(strings.TrimPrefix(server.URL, "http://"))
 }
 
-// TestRoleUsage reads a node that goes on and one that restarted, whose
-// counters must not be taken for a rate.
-func TestRoleUsage(t *testing.T) {
+// TestRoleReport reads a node that keeps running and one that restarted, whose
+// counters must not be used.
+func TestRoleReport(t *testing.T) {
 	steady := fakeNode(t, func(reading int) float64 { return float64(reading) })
 	restarted := fakeNode(t, func(reading int) float64 { return 5 - float64(reading) })
 	addresses := []fleet.Address{steady, restarted}
@@ -38,11 +38,11 @@
 	for i := range before {
 		before[i].at = before[i].at.Add(-1000 * time.Second)
 	}
-	usage := roleUsage(addresses, before)
+	usage := newRoleReport(addresses, before)
 	if usage.Nodes != 2 || usage.NotRead != 1 || usage.MemoryMB.Max != 2 {
 		t.Errorf("%+v", usage)
 	}
 	if rate := usage.ControlBytes.Max; rate < 0.25 || rate > 0.3 {
-		t.Errorf("%v control bytes a second, want 300 in a thousand seconds, without the readings themselves", rate)
+		t.Errorf("%v control bytes per second, want 300 in a thousand seconds, without the scrapes themselves", rate)
 	}
 }
--- a/internal/load/report.go
+++ b/internal/load/report.go
@@ -11,25 +11,25 @@
 // cellLength is the resolution of the fairness figures.
 const cellLength = 10 * time.Millisecond
 
-// shareStretch is the stretch over which the lowest share is taken.
-const shareStretch = 2 * time.Second
+// lowestShareWindow is the stretch over which ServiceReport.LowestShare is computed.
+const lowestShareWindow = 2 * time.Second
 
-// Report is the outcome of a run, printed as one JSON object.
+// Report is the result of a run. It is printed as a JSON object.
 type Report struct {
 	Scenario        string                   `json:"scenario"`
 	Seconds         float64                  `json:"seconds"`
 	Requests        RequestCounts            `json:"requests"`
 	LostAnswers     int                      `json:"lost_answers"`
-	DoubleRuns      int                      `json:"double_runs"`     // ids with more than one run in the ledgers
-	UntrueRefusals  int                      `json:"untrue_refusals"` // said not to have run, and in a ledger
-	UnansweredRuns  int                      `json:"unanswered_runs"` // in a ledger, known to no client
+	DoubleRuns      int                      `json:"double_runs"`     // request ids with several runs in the ledgers
+	UntrueRefusals  int                      `json:"untrue_refusals"` // reported as not run, but in a ledger
+	UnansweredRuns  int                      `json:"unanswered_runs"` // in a ledger, but not known to a client
 	RefusalsByCause map[string]int           `json:"refusals"`        // by status and outcome
 	Services        map[string]ServiceReport `json:"services"`
 	Groups          map[string]GroupReport   `json:"groups"`
-	Nodes           NodeUsage                `json:"nodes"`
+	Nodes           NodeReport               `json:"nodes"`
 }
 
-// RequestCounts counts requests by how they ended.
+// RequestCounts counts requests by verdict.
 type RequestCounts struct {
 	Sent      int             `json:"sent"`
 	ByVerdict map[Verdict]int `json:"by_verdict"`
@@ -49,7 +49,7 @@
 	BackloggedSeconds map[string]float64 `json:"backlogged_seconds,omitempty"` // per account
 }
 
-// GapReport is the fairness gap in readable form.
+// GapReport is a FairnessGap with account names and times in seconds.
 type GapReport struct {
 	Units             float64   `json:"units"`
 	InLargestRequests float64   `json:"in_largest_requests"`
@@ -59,14 +59,14 @@
 	ToSecond          float64   `json:"to_second"`
 }
 
-// GroupReport holds the percentiles of one group of streams.
+// GroupReport holds the percentiles of a group of streams.
 type GroupReport struct {
 	Latency          Percentiles `json:"latency_ms"`
 	TimeToFirstToken Percentiles `json:"time_to_first_token_ms"`
 	BetweenTokens    Percentiles `json:"between_tokens_ms"`
 }
 
-// Percentiles of a time in milliseconds.
+// Percentiles are those of a duration in milliseconds.
 type Percentiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50"`
@@ -76,22 +76,24 @@
 	Max   float64 `json:"max"`
 }
 
-// Bounds of the histograms in microseconds.
+// Range, in microseconds, and significant digits of the histograms.
 const (
 	histogramMax    = int64(time.Hour / time.Microsecond)
 	histogramDigits = 3
 )
 
-// timer gathers times of one kind.
-type timer struct{ histogram *hdrhistogram.Histogram }
+// durationHistogram records durations.
+type durationHistogram struct{ histogram *hdrhistogram.Histogram }
 
-func newTimer() timer { return timer{hdrhistogram.New(1, histogramMax, histogramDigits)} }
+func newDurationHistogram() durationHistogram {
+	return durationHistogram{hdrhistogram.New(1, histogramMax, histogramDigits)}
+}
 
-func (t timer) add(d time.Duration) {
+func (t durationHistogram) add(d time.Duration) {
 	_ = t.histogram.RecordValue(min(max(1, d.Microseconds()), histogramMax))
 }
 
-func (t timer) percentiles() Percentiles {
+func (t durationHistogram) percentiles() Percentiles {
 	at := func(quantile float64) float64 { return float64(t.histogram.ValueAtQuantile(quantile)) / 1000 }
 	return Percentiles{
 		Count: t.histogram.TotalCount(),
@@ -103,9 +105,9 @@
 	}
 }
 
-// newReport works out all figures. Counts take in the whole run, warm-up and
-// drain included; percentiles the requests sent in the measured time.
-func newReport(scenario Scenario, from, to time.Time, results []Result, engines []*engineRecord, usage NodeUsage) Report {
+// newReport computes all figures. Counts cover the complete run with warm-up and
+// drain; percentiles cover the requests sent in the measured time.
+func newReport(scenario Scenario, from, to time.Time, results []Result, engines []*engineRecord, usage NodeReport) Report {
 	report := Report{
 		Scenario:        scenario.Run.Name,
 		Seconds:         to.Sub(from).Seconds(),
@@ -138,18 +140,18 @@
 	}
 }
 
-// groupReports works out the percentiles by group.
+// groupReports computes the percentiles by group.
 func groupReports(scenario Scenario, from, to time.Time, results []Result) map[string]GroupReport {
 	byGroup := lo.GroupBy(results, func(result Result) string { return scenario.Streams[result.Stream].Group })
 	return lo.MapValues(byGroup, func(results []Result, _ string) GroupReport {
-		latency, first, between := newTimer(), newTimer(), newTimer()
+		latency, first, between := newDurationHistogram(), newDurationHistogram(), newDurationHistogram()
 		for _, result := range results {
 			if result.Verdict != VerdictWhole || result.Sent.Before(from) || result.Sent.After(to) {
 				continue
 			}
 			latency.add(result.Answered.Sub(result.Sent))
 			first.add(result.First.Sub(result.Sent))
-			for _, gap := range result.Between {
+			for _, gap := range result.TokenGaps {
 				between.add(gap)
 			}
 		}
--- a/internal/load/request.go
+++ b/internal/load/request.go
@@ -11,73 +11,73 @@
 	"github.com/pkg/errors"
 )
 
-// promptBytesPerToken is how the stand-in engine counts prompt tokens.
+// promptBytesPerToken is the length of a prompt token at the stand-in engine.
 const promptBytesPerToken = 4
 
-// call is one request before it is sent.
+// call is a request to send.
 type call struct {
 	stream *StreamSection
-	router int // place in the list of routers
+	router int // index in the list of routers
 	tokens int // of the answer; 0 for a plain call
 	work   time.Duration
 	body   []byte
 }
 
-// caller draws the requests of one stream.
-type caller struct {
+// generator generates the random requests of a stream.
+type generator struct {
 	section *StreamSection
-	places  []int
+	routers []int
 	random  *rand.Rand
 	shared  string
 	sent    int
 }
 
-func newCaller(section *StreamSection, routers int, seed uint64) (*caller, error) {
-	places, err := routerPlaces(section.Routers, routers)
+func newGenerator(section *StreamSection, routers int, seed uint64) (*generator, error) {
+	indexes, err := routerIndexes(section.Routers, routers)
 	if err != nil {
 		return nil, err
 	}
-	return &caller{
+	return &generator{
 		section: section,
-		places:  places,
+		routers: indexes,
 		random:  rand.New(rand.NewPCG(seed, uint64(len(section.Name)))),
 		shared:  filler(section.Name, section.Shared),
 	}, nil
 }
 
-// routerPlaces reads the places in the list of routers; none means all.
-func routerPlaces(names []string, routers int) ([]int, error) {
-	var places []int
+// routerIndexes parses indexes in the list of routers; an empty list means all.
+func routerIndexes(names []string, routers int) ([]int, error) {
+	var indexes []int
 	for _, name := range names {
-		place, err := strconv.Atoi(name)
-		if err != nil || place < 0 || place >= routers {
+		index, err := strconv.Atoi(name)
+		if err != nil || index < 0 || index >= routers {
 			return nil, errors.Errorf("%q is not a place in the list of %d routers", name, routers)
 		}
-		places = append(places, place)
+		indexes = append(indexes, index)
 	}
-	for place := 0; len(names) == 0 && place < routers; place++ {
-		places = append(places, place)
+	for index := 0; len(names) == 0 && index < routers; index++ {
+		indexes = append(indexes, index)
 	}
-	return places, nil
+	return indexes, nil
 }
 
-// next draws a request.
-func (c *caller) next() call {
-	request := call{stream: c.section, router: c.places[c.sent%len(c.places)]}
-	c.sent++
-	if c.section.Plain {
-		request.work = time.Duration(c.draw(float64(c.section.Work)))
-		request.body = []byte(filler(strconv.FormatUint(c.random.Uint64(), 36), c.section.Prompt))
+// next returns the next request.
+func (g *generator) next() call {
+	request := call{stream: g.section, router: g.routers[g.sent%len(g.routers)]}
+	g.sent++
+	if g.section.Plain {
+		request.work = time.Duration(g.draw(float64(g.section.Work)))
+		request.body = []byte(filler(strconv.FormatUint(g.random.Uint64(), 36), g.section.Prompt))
 		return request
 	}
-	request.tokens = max(1, int(c.draw(float64(c.section.Output))))
-	request.body = c.body(request.tokens)
+	request.tokens = max(1, int(g.draw(float64(g.section.Output))))
+	request.body = g.body(request.tokens)
 	return request
 }
 
-// draw draws from a log-normal distribution.
-func (c *caller) draw(median float64) float64 {
-	return median * math.Exp(c.section.Sigma*c.random.NormFloat64())
+// draw returns a log-normally distributed value with the given median.
+func (g *generator) draw(median float64) float64 {
+	return median * math.Exp(g.section.Sigma*g.random.NormFloat64())
 }
 
 // modelRequest is the body of a model request.
@@ -94,23 +94,23 @@
 	Content string `json:"content"`
 }
 
-func (c *caller) body(tokens int) []byte {
-	prompt := max(1, int(c.draw(float64(c.section.Prompt))))
-	own := filler(strconv.FormatUint(c.random.Uint64(), 36), max(1, prompt-c.section.Shared))
+func (g *generator) body(tokens int) []byte {
+	prompt := max(1, int(g.draw(float64(g.section.Prompt))))
+	own := filler(strconv.FormatUint(g.random.Uint64(), 36), max(1, prompt-g.section.Shared))
 	request := modelRequest{
-		Model:    c.section.Service,
-		Stream:   !c.section.Whole,
+		Model:    g.section.Service,
+		Stream:   !g.section.Whole,
 		Tokens:   tokens,
-		Messages: []modelMessage{{Role: "user", Content: c.shared + own}},
+		Messages: []modelMessage{{Role: "user", Content: g.shared + own}},
 	}
-	if c.section.Hint > 0 {
-		request.MaxTokens = max(1, int(float64(tokens)*c.section.Hint))
+	if g.section.Hint > 0 {
+		request.MaxTokens = max(1, int(float64(tokens)*g.section.Hint))
 	}
-	body, _ := json.Marshal(request) // strings and numbers cannot fail
+	body, _ := json.Marshal(request) // strings and numbers can always be marshalled
 	return body
 }
 
-// filler is a text of a number of tokens that begins with start.
+// filler returns a text of the given number of tokens that begins with start.
 func filler(start string, tokens int) string {
 	length := tokens * promptBytesPerToken
 	text := start + strings.Repeat(" word", length/len(" word")+1)
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -9,14 +9,14 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// maxRetryWait bounds how long a closed loop obeys Retry-After, so that one
-// refusal does not take a stream out of a short run.
+// maxRetryWait limits how long a closed loop waits for Retry-After, so that a
+// refusal doesn't stop a stream for the rest of a short run.
 const maxRetryWait = 5 * time.Second
 
 // minRetryWait keeps a closed loop from spinning on refusals.
 const minRetryWait = 100 * time.Millisecond
 
-// Run offers the scenario's load, waits for the last answers and returns the
+// Run generates the scenario's load, waits for the last answers and returns the
 // report.
 func Run(ctx context.Context, scenario Scenario) (Report, error) {
 	begin := time.Now()
@@ -32,8 +32,8 @@
 	if err != nil {
 		return Report{}, err
 	}
-	nodes := watchNodes(ctx, scenario.Fleet, from, to)
-	if err := r.offer(ctx); err != nil {
+	nodes := sampleNodes(ctx, scenario.Fleet, from, to)
+	if err := r.runStreams(ctx); err != nil {
 		return Report{}, err
 	}
 	usage := <-nodes
@@ -43,7 +43,7 @@
 	return newReport(scenario, from, to, r.results, engines, usage), nil
 }
 
-// runner offers the load of one run.
+// runner generates the load of a run.
 type runner struct {
 	scenario Scenario
 	client   *client
@@ -53,17 +53,17 @@
 	results []Result
 }
 
-// offer runs all streams and waits for their last answers, at most for the
-// drain time.
-func (r *runner) offer(ctx context.Context) error {
+// runStreams runs all streams and waits for their last answers, up to the drain
+// time.
+func (r *runner) runStreams(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	for i := range r.scenario.Streams {
 		section := &r.scenario.Streams[i]
-		caller, err := newCaller(section, len(r.scenario.Fleet.Routers), uint64(r.scenario.Run.Seed)<<16+uint64(i))
+		gen, err := newGenerator(section, len(r.scenario.Fleet.Routers), uint64(r.scenario.Run.Seed)<<16+uint64(i))
 		if err != nil {
 			return err
 		}
-		group.Go(func() error { return r.offerStream(ctx, i, caller) })
+		group.Go(func() error { return r.runStream(ctx, i, gen) })
 	}
 	done := make(chan error, 1)
 	go func() { done <- group.Wait() }()
@@ -77,9 +77,9 @@
 	}
 }
 
-// offerStream runs one stream between its start and its stop.
-func (r *runner) offerStream(ctx context.Context, stream int, caller *caller) error {
-	section := caller.section
+// runStream runs one stream between its start and its stop.
+func (r *runner) runStream(ctx context.Context, stream int, gen *generator) error {
+	section := gen.section
 	stop := r.to
 	if section.Stop > 0 {
 		stop = r.from.Add(section.Stop)
@@ -88,24 +88,24 @@
 		return ctx.Err()
 	}
 	if section.Pattern == PatternPoisson {
-		return r.offerPoisson(ctx, stream, caller, stop)
+		return r.runPoisson(ctx, stream, gen, stop)
 	}
-	return r.offerClosed(ctx, stream, caller, stop)
+	return r.runClosedLoop(ctx, stream, gen, stop)
 }
 
-// offerClosed keeps a fixed number of requests outstanding.
-func (r *runner) offerClosed(ctx context.Context, stream int, caller *caller, stop time.Time) error {
+// runClosedLoop keeps a fixed number of requests outstanding.
+func (r *runner) runClosedLoop(ctx context.Context, stream int, gen *generator, stop time.Time) error {
 	var mu sync.Mutex
 	group, ctx := errgroup.WithContext(ctx)
-	for range caller.section.Outstanding {
+	for range gen.section.Outstanding {
 		group.Go(func() error {
 			for ctx.Err() == nil && time.Now().Before(stop) {
 				mu.Lock()
-				request := caller.next()
+				request := gen.next()
 				mu.Unlock()
 				result := r.send(stream, request)
 				if result.Verdict != VerdictWhole {
-					sleepUntil(ctx, time.Now().Add(min(max(result.Retry, minRetryWait), maxRetryWait)))
+					sleepUntil(ctx, time.Now().Add(min(max(result.RetryAfter, minRetryWait), maxRetryWait)))
 				}
 			}
 			return ctx.Err()
@@ -114,16 +114,16 @@
 	return group.Wait()
 }
 
-// offerPoisson sends at a mean rate, whatever the answers do.
-func (r *runner) offerPoisson(ctx context.Context, stream int, caller *caller, stop time.Time) error {
+// runPoisson sends requests as a Poisson process, independently of the answers.
+func (r *runner) runPoisson(ctx context.Context, stream int, gen *generator, stop time.Time) error {
 	group, ctx := errgroup.WithContext(ctx)
 	at := time.Now()
-	for caller.section.Rate > 0 {
-		at = at.Add(time.Duration(caller.random.ExpFloat64() / caller.section.Rate * float64(time.Second)))
+	for gen.section.Rate > 0 {
+		at = at.Add(time.Duration(gen.random.ExpFloat64() / gen.section.Rate * float64(time.Second)))
 		if !at.Before(stop) || !sleepUntil(ctx, at) {
 			break
 		}
-		request := caller.next()
+		request := gen.next()
 		group.Go(func() error {
 			r.send(stream, request)
 			return nil
@@ -132,7 +132,7 @@
 	return group.Wait()
 }
 
-// send sends one request and keeps its result.
+// send sends a request and records its result.
 func (r *runner) send(stream int, request call) Result {
 	result := r.client.send(request)
 	result.Stream = stream
@@ -142,7 +142,7 @@
 	return result
 }
 
-// sleepUntil reports false when the context ends first.
+// sleepUntil sleeps until a time and reports whether the context was still valid.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	timer := time.NewTimer(time.Until(at))
 	defer timer.Stop()
--- a/internal/load/run_test.go
+++ b/internal/load/run_test.go
@@ -13,8 +13,8 @@
 	"github.com/bluebellchute/bluebellchute/internal/inifile"
 )
 
-// TestRunAgainstAnEngine offers load straight to one engine, which speaks the
-// callers' interface, and expects whole answers and one run of each request.
+// TestRunAgainstAnEngine sends load directly to an engine, which has the routers'
+// interface for callers, and expects complete answers and one run per request.
 func TestRunAgainstAnEngine(t *testing.T) {
 	e, err := engine.Listen(engine.Config{Step: time.Millisecond}, "127.0.0.1:0")
 	if err != nil {
@@ -59,18 +59,18 @@
 		t.Fatal(err)
 	}
 	if whole := report.Requests.ByVerdict[VerdictWhole]; whole != report.Requests.Sent || whole == 0 {
-		t.Errorf("%d of %d answers are whole: %+v", whole, report.Requests.Sent, report.Requests)
+		t.Errorf("%d of %d answers are complete: %+v", whole, report.Requests.Sent, report.Requests)
 	}
 	if report.LostAnswers+report.DoubleRuns+report.UntrueRefusals+report.UnansweredRuns != 0 {
-		t.Errorf("faults in %+v", report)
+		t.Errorf("errors in %+v", report)
 	}
 	if runs := report.Services["m"].Runs; runs != report.Requests.Sent {
-		t.Errorf("%d runs joined of %d requests", runs, report.Requests.Sent)
+		t.Errorf("%d runs joined with %d requests", runs, report.Requests.Sent)
 	}
 }
 
-// Symptom: an answer looks complete but is not the caller's, or has a hole.
-// Each faulty answer must get its own verdict rather than pass for whole.
+// Guards against faulty answers that count as complete: answers to other requests
+// and answers with missing, repeated or other content. Each must get its verdict.
 func TestFaultyAnswersAreFound(t *testing.T) {
 	request := call{tokens: 3, body: []byte("mine")}
 	event := func(id, text string, body string) string {
@@ -99,8 +99,9 @@
 	}
 }
 
-// Symptom: a caller is told that its request did not run, and a ledger has it.
-func TestRunsAreComparedWithWhatCallersWereTold(t *testing.T) {
+// Requests that ran although reported as not run, that ran twice or that no client
+// knows of must be counted.
+func TestRunsAreComparedWithReportedOutcomes(t *testing.T) {
 	results := []Result{
 		{ID: "refused", Outcome: fleet.OutcomeNotRun, Verdict: VerdictRefused, Status: 503},
 		{ID: "twice", Outcome: fleet.OutcomeCompleted, Verdict: VerdictWhole, Status: 200},
@@ -116,7 +117,7 @@
 	}
 }
 
-func TestBadScenarioListsEveryMistake(t *testing.T) {
+func TestBadScenarioListsEveryProblem(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "scenario.ini")
 	text := "[load.a]\naccount = a\nservice = m\nrouters = 3\n"
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -130,8 +131,8 @@
 	}
 }
 
-// TestScenarioFiles reads the streams of both deployments as scenarios/run
-// completes them.
+// TestScenarioFiles parses the streams of both deployments, completed with other
+// sections as scenarios/run does.
 func TestScenarioFiles(t *testing.T) {
 	const fleetSection = "[fleet]\nrouters = 127.0.0.1:1,127.0.0.1:2,127.0.0.1:3,127.0.0.1:4\n"
 	for file, services := range map[string][]string{
--- a/internal/load/scenario.go
+++ b/internal/load/scenario.go
@@ -1,7 +1,7 @@
-// Package load offers requests to routers by a scenario and works out the
-// figures that the users watch: the fairness gap between client accounts, the
-// utilisation of capacity, and the control traffic. The computations are pure
-// functions over what the clients sent and what the engines' ledgers recorded.
+// Package load generates the requests of a scenario and computes figures on the
+// routers: the fairness gap between client accounts, the utilisation of capacity
+// and the control traffic. The computations are pure functions of the clients'
+// records and the engines' ledgers.
 package load
 
 import (
@@ -12,16 +12,16 @@
 	"github.com/bluebellchute/bluebellchute/internal/inifile"
 )
 
-// Pattern tells when an account's requests arrive.
+// Pattern is the arrival pattern of a stream's requests.
 type Pattern string
 
 // The arrival patterns.
 const (
 	PatternClosed  Pattern = "closed"  // a fixed number outstanding
-	PatternPoisson Pattern = "poisson" // at a rate, whatever the answers do
+	PatternPoisson Pattern = "poisson" // at a mean rate, independently of the answers
 )
 
-// Scenario is the content of a scenario's INI file.
+// Scenario is the content of a scenario file.
 type Scenario struct {
 	Run      RunSection       `section:"run" doc:"Length of the run."`
 	Fleet    FleetSection     `section:"fleet" doc:"The processes under load."`
@@ -29,7 +29,7 @@
 	Streams  []StreamSection  `section:"load.*" doc:"One stream of requests."`
 }
 
-// RunSection sets the run's length.
+// RunSection sets the name, the length and the seed of the run.
 type RunSection struct {
 	Name     string        `key:"name" default:"unnamed" doc:"Name in the report."`
 	Duration time.Duration `key:"duration" default:"20s" min:"1s" doc:"Measured time, after the warm-up."`
@@ -38,14 +38,14 @@
 	Seed     int64         `key:"seed" default:"1" doc:"Seed of sizes and arrivals."`
 }
 
-// FleetSection names the processes.
+// FleetSection holds the addresses of the processes under load.
 type FleetSection struct {
 	Routers       []fleet.Address `key:"routers" doc:"Routers' addresses for callers."`
 	RouterControl []fleet.Address `key:"router_control" doc:"Routers' control addresses."`
 	AgentControl  []fleet.Address `key:"agent_control" doc:"Agents' control addresses."`
 }
 
-// ServiceSection names a service's engines and its costs.
+// ServiceSection holds a service's engines and costs.
 type ServiceSection struct {
 	Name            string          `name:"section"`
 	Engines         []fleet.Address `key:"engines" doc:"Addresses of the engines."`
@@ -54,8 +54,8 @@
 	MillisecondCost float64         `key:"millisecond_cost" default:"1" min:"0" doc:"Cost units per millisecond of a plain call."`
 }
 
-// StreamSection is one stream of requests of one account. An account may have
-// several.
+// StreamSection describes a stream of requests of an account. An account may have
+// several streams.
 type StreamSection struct {
 	Name        string        `name:"section"`
 	Account     string        `key:"account" required:"true" doc:"Client account in the report."`
@@ -106,7 +106,7 @@
 		problem := fmt.Sprintf("there is no section [service.%s]", stream.Service)
 		problems = append(problems, inifile.Problem{Section: section, Key: "service", Message: problem})
 	}
-	if _, err := routerPlaces(stream.Routers, len(s.Fleet.Routers)); err != nil {
+	if _, err := routerIndexes(stream.Routers, len(s.Fleet.Routers)); err != nil {
 		problems = append(problems, inifile.Problem{Section: section, Key: "routers", Message: err.Error()})
 	}
 	return problems
--- a/internal/load/usage.go
+++ b/internal/load/usage.go
@@ -2,33 +2,33 @@
 
 import "slices"
 
-// Usage tells how well the engines were used while work waited.
-type Usage struct {
-	// WaitingSeconds is the time during which at least one request waited.
+// SlotUsage is the utilisation of the engines while requests were waiting.
+type SlotUsage struct {
+	// WaitingSeconds is the time during which at least one request was waiting.
 	WaitingSeconds float64
-	// Utilisation is the slot time in use over the slot time of all engines,
-	// while at least one request waited.
+	// Utilisation is the fraction of the engines' slot time that was in use
+	// while at least one request was waiting.
 	Utilisation float64
-	// IdleWhileWaiting is the slot time that was idle although a request
-	// waited for it (at most as many slots as requests), over the slot time
-	// of all engines in the whole window.
+	// IdleWhileWaiting is the fraction of the engines' slot time in the window
+	// that was idle while requests were waiting. At any time, at most as many
+	// slots count as requests are waiting.
 	IdleWhileWaiting float64
 }
 
-// usageChange is a step in the number of waiting or running requests.
+// usageChange is a change in the number of waiting or running requests.
 type usageChange struct {
 	change
-	engine int // waitingEngine for the number that waits
+	engine int // waitingEngine for waiting requests
 }
 
 const waitingEngine = -1
 
-// NewUsage sweeps over the window. slots gives the slots of each engine. A
-// request waits from the client's sending to the run's begin, its way through
-// the network and the system included.
-func NewUsage(window Window, slots []int, works []Work) Usage {
+// NewSlotUsage computes the usage in the window. slots holds the number of slots
+// of each engine. A request counts as waiting from when the client sends it until
+// its run starts, so the time in the network and in the routers is included.
+func NewSlotUsage(window Window, slots []int, requests []RequestRecord) SlotUsage {
 	s := usageSweep{window: window, slots: slots, running: make([]int, len(slots)), at: window.From}
-	for _, c := range usageChanges(works) {
+	for _, c := range usageChanges(requests) {
 		s.advance(c.at)
 		if c.engine == waitingEngine {
 			s.waiting += c.delta
@@ -42,7 +42,7 @@
 	return s.usage()
 }
 
-func usageChanges(works []Work) []usageChange {
+func usageChanges(requests []RequestRecord) []usageChange {
 	var changes []usageChange
 	add := func(from, to int64, engine int) {
 		if to > from {
@@ -51,17 +51,17 @@
 				usageChange{change{to, -1}, engine})
 		}
 	}
-	for _, work := range works {
-		add(work.Sent, work.waitEnd(), waitingEngine)
-		if work.ran() {
-			add(work.Began, work.Ended, work.Engine)
+	for _, request := range requests {
+		add(request.Sent, request.waitEnd(), waitingEngine)
+		if request.ran() {
+			add(request.Started, request.Ended, request.Engine)
 		}
 	}
 	slices.SortFunc(changes, func(a, b usageChange) int { return compareChanges(a.change, b.change) })
 	return changes
 }
 
-// usageSweep is the state of the sweep at one time.
+// usageSweep is the state of the computation at one time.
 type usageSweep struct {
 	window  Window
 	slots   []int
@@ -70,10 +70,10 @@
 	busy    int // slots in use
 	at      int64
 
-	waitingTime, busyTime, idleTime float64 // nanoseconds; the latter two times slots
+	waitingTime, busyTime, idleTime float64 // nanoseconds; busyTime and idleTime multiplied by slots
 }
 
-// advance accounts for the time up to at.
+// advance adds up the time until at.
 func (s *usageSweep) advance(at int64) {
 	at = min(max(at, s.window.From), s.window.To)
 	span := float64(at - s.at)
@@ -94,10 +94,10 @@
 	return total
 }
 
-func (s *usageSweep) usage() Usage {
+func (s *usageSweep) usage() SlotUsage {
 	total := float64(s.total())
 	length := float64(s.window.To - s.window.From)
-	usage := Usage{WaitingSeconds: s.waitingTime / 1e9}
+	usage := SlotUsage{WaitingSeconds: s.waitingTime / 1e9}
 	if s.waitingTime > 0 && total > 0 {
 		usage.Utilisation = s.busyTime / (s.waitingTime * total)
 		usage.IdleWhileWaiting = s.idleTime / (length * total)
