--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -64,7 +64,7 @@
 	return s.produced == 1, s.ended != RunRunning
 }
 
-// stop ends the run early. Readers get an error rather than the end of the answer.
+// stop ends the run early. Readers get an error instead of the rest of the answer.
 func (s *stream) stop(state RunState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
