--- a/internal/emulator/engine.go
+++ b/internal/emulator/engine.go
@@ -97,9 +97,9 @@
 	if len(e.running) == 0 {
 		return 0
 	}
-	read := e.prefill()
+	prefilled := e.prefill()
 	took := e.config.Step + time.Duration(len(e.running))*e.config.StepPerRequest
-	took += time.Duration(float64(read) / e.config.PrefillTokensPerMS * float64(time.Millisecond))
+	took += time.Duration(float64(prefilled) / e.config.PrefillTokensPerMS * float64(time.Millisecond))
 	e.generate()
 	return took
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -195,7 +195,7 @@
 	s.promptSize = promptTokens(s.prompt)
 	s.cached = cached
 	s.prefill = (s.promptSize - cached) / e.config.PrefillTokens
-	s.run, _ = e.ledger.begin(s.id, now)
+	s.run, _ = e.ledger.start(s.id, now)
 	e.ledger.update(func() { s.run.PromptTokens, s.run.CachedTokens = s.promptSize, cached })
 	s.prompt = ""
 	e.streams[s.id] = s
--- a/internal/engine/ledger.go
+++ b/internal/engine/ledger.go
@@ -39,9 +39,9 @@
 
 func newLedger() *ledger { return &ledger{byID: make(map[string]int)} }
 
-// begin records the start of a run and returns it with the number of runs of the
+// start records the start of a run and returns it with the number of runs of the
 // request id so far.
-func (l *ledger) begin(id string, now time.Time) (*Run, int) {
+func (l *ledger) start(id string, now time.Time) (*Run, int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	run := &Run{ID: id, State: RunRunning, StartedNS: now.UnixNano()}
--- a/internal/engine/plain.go
+++ b/internal/engine/plain.go
@@ -22,7 +22,7 @@
 // repeated call runs again, as at a service that is not idempotent.
 func (e *Engine) handlePlain(ctx *fasthttp.RequestCtx) {
 	id := requestID(ctx)
-	run, number := e.ledger.begin(id, time.Now())
+	run, number := e.ledger.start(id, time.Now())
 	time.Sleep(e.beginPlain(e.workTime(ctx)))
 	e.endPlain()
 	e.ledger.end(run, RunComplete, time.Now())
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -104,7 +104,7 @@
 type reader struct {
 	stream *stream
 	offset int
-	end    string // built once the run has ended
+	ending string // built once the run has ended
 }
 
 // Read implements io.Reader.
@@ -150,15 +150,15 @@
 
 // copyEnd copies the final events or the document, which starts at offset body.
 func (r *reader) copyEnd(p []byte, body int) int {
-	if r.end == "" && r.stream.chunked {
-		r.end = r.stream.finalEvents()
-	} else if r.end == "" {
-		r.end = r.stream.document()
+	if r.ending == "" && r.stream.chunked {
+		r.ending = r.stream.finalEvents()
+	} else if r.ending == "" {
+		r.ending = r.stream.document()
 	}
-	if r.offset-body >= len(r.end) {
+	if r.offset-body >= len(r.ending) {
 		return 0
 	}
-	n := copy(p, r.end[r.offset-body:])
+	n := copy(p, r.ending[r.offset-body:])
 	r.offset += n
 	return n
 }
--- a/internal/load/figures_test.go
+++ b/internal/load/figures_test.go
@@ -13,8 +13,8 @@
 var window = Window{From: 100 * second, To: 110 * second, Cell: second / 10}
 
 // served returns a request that ran after waiting from sent.
-func served(account, engine int, sent, began, ended int64, cost float64) RequestRecord {
-	return RequestRecord{Account: account, Engine: engine, Sent: sent, Started: began, FirstToken: began, Ended: ended, Answered: ended, OutputCost: cost}
+func served(account, engine int, sent, started, ended int64, cost float64) RequestRecord {
+	return RequestRecord{Account: account, Engine: engine, Sent: sent, Started: started, FirstToken: started, Ended: ended, Answered: ended, OutputCost: cost}
 }
 
 // backloggedAll returns a request of the account that waits for the entire window.
@@ -27,14 +27,14 @@
 	var requests []RequestRecord
 	for range rapid.IntRange(0, 20).Draw(t, "runs") {
 		sent := window.From + rapid.Int64Range(-2*second, 10*second).Draw(t, "sent")
-		began := sent + rapid.Int64Range(1, 3*second).Draw(t, "wait")
-		ended := began + rapid.Int64Range(1, 4*second).Draw(t, "run")
-		requests = append(requests, served(account, 0, sent, began, ended, rapid.Float64Range(0, 1000).Draw(t, "cost")))
+		started := sent + rapid.Int64Range(1, 3*second).Draw(t, "wait")
+		ended := started + rapid.Int64Range(1, 4*second).Draw(t, "run")
+		requests = append(requests, served(account, 0, sent, started, ended, rapid.Float64Range(0, 1000).Draw(t, "cost")))
 	}
 	return requests
 }
 
-func near(a, b float64) bool { return math.Abs(a-b) <= 1e-6*max(1, math.Abs(a), math.Abs(b)) }
+func approxEqual(a, b float64) bool { return math.Abs(a-b) <= 1e-6*max(1, math.Abs(a), math.Abs(b)) }
 
 func TestGapOfKnownCurves(t *testing.T) {
 	// Account 0 gets 100 units per second, account 1 gets 50. This is fair for
@@ -46,12 +46,12 @@
 	}
 	for weight, want := range map[float64]float64{1: 500, 2: 0} {
 		gap := NewServiceCurves(window, []float64{weight, 1}, requests).Gap()
-		if !near(gap.Units, want) || gap.LargestRequest != 1000 {
+		if !approxEqual(gap.Units, want) || gap.LargestRequest != 1000 {
 			t.Errorf("weight %v: gap %+v, want %v units", weight, gap, want)
 		}
 	}
 	share, account := NewServiceCurves(window, []float64{1, 1}, requests).LowestShare(10)
-	if !near(share, 50.0/75) || account != 1 {
+	if !approxEqual(share, 50.0/75) || account != 1 {
 		t.Errorf("lowest share %v of %d", share, account)
 	}
 }
@@ -66,7 +66,7 @@
 		served(0, 0, window.From, window.From, window.To, 1000),
 		served(1, 0, half, half, window.To, 500),
 	}
-	if gap := NewServiceCurves(window, []float64{1, 1}, requests).Gap(); !near(gap.Units, 0) {
+	if gap := NewServiceCurves(window, []float64{1, 1}, requests).Gap(); !approxEqual(gap.Units, 0) {
 		t.Errorf("gap %+v over a span in which one account had no request waiting", gap)
 	}
 }
@@ -80,7 +80,7 @@
 			request.Account = 1
 			mirrored = append(mirrored, request)
 		}
-		if gap := NewServiceCurves(window, weights, append(mirrored, first...)).Gap(); !near(gap.Units, 0) {
+		if gap := NewServiceCurves(window, weights, append(mirrored, first...)).Gap(); !approxEqual(gap.Units, 0) {
 			t.Fatalf("equal curves have a gap of %v", gap.Units)
 		}
 		all := append(append([]RequestRecord{backloggedAll(0), backloggedAll(1)}, first...), second...)
@@ -93,10 +93,10 @@
 			request.OutputCost *= 3
 			scaled = append(scaled, request)
 		}
-		if other := NewServiceCurves(window, weights, swapped).Gap(); !near(other.Units, gap.Units) {
+		if other := NewServiceCurves(window, weights, swapped).Gap(); !approxEqual(other.Units, gap.Units) {
 			t.Fatalf("gap %v, with the accounts swapped %v", gap.Units, other.Units)
 		}
-		if other := NewServiceCurves(window, weights, scaled).Gap(); !near(other.Units, 3*gap.Units) {
+		if other := NewServiceCurves(window, weights, scaled).Gap(); !approxEqual(other.Units, 3*gap.Units) {
 			t.Fatalf("gap %v, with all costs tripled %v", gap.Units, other.Units)
 		}
 		// Without the requests that wait throughout, spans can only become shorter.
@@ -109,9 +109,9 @@
 func TestUsageOfKnownRuns(t *testing.T) {
 	from, half := window.From, window.From+5*second
 	tests := []struct {
-		name  string
-		works []RequestRecord
-		want  SlotUsage
+		name     string
+		requests []RequestRecord
+		want     SlotUsage
 	}{
 		{"nothing waits", []RequestRecord{served(0, 0, from, from, window.To, 1)}, SlotUsage{}},
 		{"one of two slots is busy for half of the time", []RequestRecord{backloggedAll(0), served(0, 0, from, from, half, 1)},
@@ -123,9 +123,9 @@
 			SlotUsage{WaitingSeconds: 5, IdleWhileWaiting: 0.25}},
 	}
 	for _, test := range tests {
-		got := NewSlotUsage(window, []int{2}, test.works)
-		if !near(got.WaitingSeconds, test.want.WaitingSeconds) || !near(got.Utilisation, test.want.Utilisation) ||
-			!near(got.IdleWhileWaiting, test.want.IdleWhileWaiting) {
+		got := NewSlotUsage(window, []int{2}, test.requests)
+		if !approxEqual(got.WaitingSeconds, test.want.WaitingSeconds) || !approxEqual(got.Utilisation, test.want.Utilisation) ||
+			!approxEqual(got.IdleWhileWaiting, test.want.IdleWhileWaiting) {
 			t.Errorf("%s: %+v, want %+v", test.name, got, test.want)
 		}
 	}
--- a/internal/load/request.go
+++ b/internal/load/request.go
@@ -66,17 +66,17 @@
 	request := call{stream: g.section, router: g.routers[g.sent%len(g.routers)]}
 	g.sent++
 	if g.section.Plain {
-		request.work = time.Duration(g.draw(float64(g.section.Work)))
+		request.work = time.Duration(g.logNormal(float64(g.section.Work)))
 		request.body = []byte(filler(strconv.FormatUint(g.random.Uint64(), 36), g.section.Prompt))
 		return request
 	}
-	request.tokens = max(1, int(g.draw(float64(g.section.Output))))
+	request.tokens = max(1, int(g.logNormal(float64(g.section.Output))))
 	request.body = g.body(request.tokens)
 	return request
 }
 
-// draw returns a log-normally distributed value with the given median.
-func (g *generator) draw(median float64) float64 {
+// logNormal returns a log-normally distributed value with the given median.
+func (g *generator) logNormal(median float64) float64 {
 	return median * math.Exp(g.section.Sigma*g.random.NormFloat64())
 }
 
@@ -95,7 +95,7 @@
 }
 
 func (g *generator) body(tokens int) []byte {
-	prompt := max(1, int(g.draw(float64(g.section.Prompt))))
+	prompt := max(1, int(g.logNormal(float64(g.section.Prompt))))
 	own := filler(strconv.FormatUint(g.random.Uint64(), 36), max(1, prompt-g.section.Shared))
 	request := modelRequest{
 		Model:    g.section.Service,
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -19,8 +19,8 @@
 // Run generates the scenario's load, waits for the last answers and returns the
 // report.
 func Run(ctx context.Context, scenario Scenario) (Report, error) {
-	begin := time.Now()
-	from := begin.Add(scenario.Run.WarmUp)
+	start := time.Now()
+	from := start.Add(scenario.Run.WarmUp)
 	to := from.Add(scenario.Run.Duration)
 	r := &runner{
 		scenario: scenario,
@@ -37,7 +37,7 @@
 		return Report{}, err
 	}
 	usage := <-nodes
-	if err := readLedgers(engines, begin); err != nil {
+	if err := readLedgers(engines, start); err != nil {
 		return Report{}, err
 	}
 	return newReport(scenario, from, to, r.results, engines, usage), nil
--- a/internal/losses/plot.go
+++ b/internal/losses/plot.go
@@ -32,11 +32,11 @@
 		XAxis: chart.XAxis{Name: "seconds"},
 		YAxis: chart.YAxis{Name: "requests a second"},
 	}
-	begin := r.Seconds[0].At
+	start := r.Seconds[0].At
 	for _, line := range lines {
 		series := chart.ContinuousSeries{Name: line.name}
 		for _, second := range r.Seconds {
-			series.XValues = append(series.XValues, second.At.Sub(begin).Seconds())
+			series.XValues = append(series.XValues, second.At.Sub(start).Seconds())
 			series.YValues = append(series.YValues, float64(line.value(second)))
 		}
 		graph.Series = append(graph.Series, series)
--- a/internal/losses/report.go
+++ b/internal/losses/report.go
@@ -29,11 +29,11 @@
 
 // TotalRefused returns the number of refusals over all reasons.
 func (c *Counts) TotalRefused() int {
-	all := 0
+	total := 0
 	for _, count := range c.Refused {
-		all += count
+		total += count
 	}
-	return all
+	return total
 }
 
 func (c *Counts) add(counts gate.RouteCounts) {
--- a/internal/measurepath/call.go
+++ b/internal/measurepath/call.go
@@ -30,7 +30,7 @@
 	}
 	request.Header.Set("Authorization", "Bearer "+t.APIKey)
 	request.Header.Set("X-Work-Ms", strconv.Itoa(t.WorkMs))
-	began := time.Now()
+	start := time.Now()
 	response, err := client.Do(request)
 	if err != nil {
 		return 0, errors.Wrap(err, "call")
@@ -40,11 +40,11 @@
 	if _, err := io.Copy(io.Discard, response.Body); err != nil {
 		return 0, errors.Wrap(err, "answer")
 	}
-	took := time.Since(began)
+	elapsed := time.Since(start)
 	if response.StatusCode != http.StatusOK {
 		return 0, errors.Errorf("%s answered with status %d", t.URL, response.StatusCode)
 	}
-	return took, nil
+	return elapsed, nil
 }
 
 // sleep waits for the duration, or returns an error when the context ends.
--- a/internal/measurepath/throughput.go
+++ b/internal/measurepath/throughput.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		return ThroughputFigures{}, err
 	}
-	began := time.Now()
+	start := time.Now()
 	group, running := errgroup.WithContext(ctx)
 	for caller := range callers {
 		group.Go(func() error {
@@ -45,7 +45,7 @@
 	if err := group.Wait(); err != nil {
 		return ThroughputFigures{}, err
 	}
-	took := time.Since(began).Seconds()
+	seconds := time.Since(start).Seconds()
 	after, err := readMetric(ctx, metrics, metricCPU)
 	if err != nil {
 		return ThroughputFigures{}, err
@@ -56,10 +56,10 @@
 	}
 	return ThroughputFigures{
 		Calls:           calls,
-		PerSecond:       float64(calls) / took,
+		PerSecond:       float64(calls) / seconds,
 		PerCoreSecond:   float64(calls) / used,
-		Cores:           used / took,
+		Cores:           used / seconds,
 		CPUMicroseconds: 1e6 * used / float64(calls),
-		Seconds:         took,
+		Seconds:         seconds,
 	}, nil
 }
--- a/internal/testrelay/relay.go
+++ b/internal/testrelay/relay.go
@@ -108,7 +108,7 @@
 }
 
 // SetFaults replaces the faults for all connections.
-func (r *Relay) SetFaults(trouble Faults) { r.faults.Store(&trouble) }
+func (r *Relay) SetFaults(faults Faults) { r.faults.Store(&faults) }
 
 // Blackhole blackholes all open connections.
 func (r *Relay) Blackhole() {
--- a/internal/testrelay/relay_test.go
+++ b/internal/testrelay/relay_test.go
@@ -34,16 +34,16 @@
 // send writes to one end and returns the time until the other has received it.
 func send(t *testing.T, from, to net.Conn, text string) time.Duration {
 	t.Helper()
-	began := time.Now()
+	start := time.Now()
 	if _, err := io.WriteString(from, text); err != nil {
 		t.Fatal(err)
 	}
 	got := make([]byte, len(text))
-	_ = to.SetReadDeadline(began.Add(5 * time.Second))
+	_ = to.SetReadDeadline(start.Add(5 * time.Second))
 	if _, err := io.ReadFull(to, got); err != nil || string(got) != text {
 		t.Fatalf("%q, %v", got, err)
 	}
-	return time.Since(began)
+	return time.Since(start)
 }
 
 func TestFaults(t *testing.T) {
