--- a/internal/pathtest/live_test.go
+++ b/internal/pathtest/live_test.go
@@ -1,5 +1,5 @@
-// Package pathtest tests the path of a request through routers and agents
-// together.
+// Package pathtest tests the complete path of a request through routers and
+// agents, with simulated and with real networks.
 package pathtest
 
 import (
@@ -32,12 +32,12 @@
 )
 
 const (
-	token    = "fleet-token"
-	apiKey   = "key"
-	patience = 30 * time.Second // ends a test whose event never comes
+	token       = "fleet-token"
+	apiKey      = "key"
+	testTimeout = 30 * time.Second // bounds each wait, so that a test always ends
 )
 
-// tree is the settings of the live tests.
+// tree returns the settings of the live tests.
 func tree(t testing.TB) settings.View {
 	t.Helper()
 	hash := sha256.Sum256([]byte(apiKey))
@@ -58,27 +58,27 @@
 	return settings.NewView(parsed.WithRevision(1))
 }
 
-// known is the shared knowledge of a fleet that does not change.
-type known struct {
+// staticFleet is the view of a fleet that does not change.
+type staticFleet struct {
 	view     settings.View
 	members  membership.View
 	envelope rpc.Envelope
 }
 
-func (k *known) Settings() settings.View       { return k.view }
-func (k *known) Members() membership.View      { return k.members }
-func (k *known) Verdicts() []*rpc.Verdict      { return nil }
-func (k *known) Changed() <-chan struct{}      { return nil }
-func (k *known) ReceiveEnvelope(*rpc.Envelope) {}
-func (k *known) SetLeaving(bool)               {}
-func (k *known) PlatformLeaving() bool         { return false }
-func (k *known) CallFailed(fleet.Address)      {}
-func (k *known) AddVerdict(*rpc.Verdict)       {}
-func (k *known) Envelope() *rpc.Envelope {
+func (k *staticFleet) Settings() settings.View       { return k.view }
+func (k *staticFleet) Members() membership.View      { return k.members }
+func (k *staticFleet) Verdicts() []*rpc.Verdict      { return nil }
+func (k *staticFleet) Changed() <-chan struct{}      { return nil }
+func (k *staticFleet) ReceiveEnvelope(*rpc.Envelope) {}
+func (k *staticFleet) SetLeaving(bool)               {}
+func (k *staticFleet) PlatformLeaving() bool         { return false }
+func (k *staticFleet) CallFailed(fleet.Address)      {}
+func (k *staticFleet) AddVerdict(*rpc.Verdict)       {}
+func (k *staticFleet) Envelope() *rpc.Envelope {
 	return &rpc.Envelope{Sender: k.envelope.Sender, Incarnation: k.envelope.Incarnation}
 }
 
-// live is a fleet in one process, over loopback.
+// live is a fleet in one process that communicates over loopback.
 type live struct {
 	t       testing.TB
 	ctx     context.Context
@@ -96,13 +96,12 @@
 	return &live{t: t, ctx: ctx, cancel: cancel, view: tree(t), logger: logger}
 }
 
-// handedOut are the ports that freePort has named. A port is free again once it
-// was looked for, so the kernel may name the same one to the next who asks, and a
-// process would get one port for two purposes.
-var handedOut sync.Map
+// allocatedPorts holds the addresses that freePort has returned. freePort closes
+// its listener, after which the kernel may assign the same port again.
+var allocatedPorts sync.Map
 
-// freePort returns a loopback address that nobody listens on, another one each
-// time.
+// freePort returns a loopback address that nobody listens on. It never returns
+// the same address twice.
 func freePort(t testing.TB) fleet.Address {
 	t.Helper()
 	for {
@@ -114,7 +113,7 @@
 		if err := listener.Close(); err != nil {
 			t.Fatal(err)
 		}
-		if _, known := handedOut.LoadOrStore(address, true); !known {
+		if _, taken := allocatedPorts.LoadOrStore(address, true); !taken {
 			return address
 		}
 	}
@@ -133,10 +132,10 @@
 	})
 }
 
-// known makes the shared knowledge of one node. It is complete once begin has
-// been called.
-func (l *live) known(node fleet.Node) *known {
-	k := &known{view: l.view, envelope: rpc.Envelope{Sender: string(node.Control), Incarnation: uint64(time.Now().UnixNano())}}
+// newStaticFleet returns the view of one node and adds the node to the fleet. The
+// list of members is set by startAll.
+func (l *live) newStaticFleet(node fleet.Node) *staticFleet {
+	k := &staticFleet{view: l.view, envelope: rpc.Envelope{Sender: string(node.Control), Incarnation: uint64(time.Now().UnixNano())}}
 	l.nodes = append(l.nodes, node)
 	l.start = append([]func(){func() { k.members = membership.View{Version: 1, Nodes: l.nodes} }}, l.start...)
 	return k
@@ -153,11 +152,11 @@
 	return control.NewPool(token, metrics)
 }
 
-// lazyPool lets a manager be made before its pool.
+// lazyPool allows a manager to be created before its pool.
 type lazyPool struct{ *control.Pool }
 
-// addAgent adds an engine with its agent. dataAt is the data address that
-// routers are told; empty stands for the agent's own.
+// addAgent adds an engine with its agent. dataAt maps the agent's data address to
+// the one that is announced to routers; nil announces the agent's own.
 func (l *live) addAgent(service fleet.Service, config engine.Config, dataAt func(fleet.Address) fleet.Address) *engine.Engine {
 	l.t.Helper()
 	backend, err := engine.Listen(config, "127.0.0.1:0")
@@ -176,7 +175,7 @@
 	if dataAt != nil {
 		node.Data = dataAt(node.Data)
 	}
-	k := l.known(node)
+	k := l.newStaticFleet(node)
 	pool := &lazyPool{}
 	manager := agent.NewManager(agent.Options{
 		Config: own, Incarnation: k.envelope.Incarnation, Fleet: k, Clients: pool,
@@ -197,7 +196,7 @@
 		l.t.Fatal(err)
 	}
 	node := fleet.Node{VM: "w", Role: fleet.RoleRouter, Control: config.Node.Control, Data: config.Node.Data, Zone: "z", State: fleet.VMLive}
-	k := l.known(node)
+	k := l.newStaticFleet(node)
 	pool := &lazyPool{}
 	manager := router.NewManager(router.Options{
 		Self: node, Incarnation: k.envelope.Incarnation, Callers: config.Callers, Token: token, Fleet: k, Agents: pool,
@@ -208,12 +207,12 @@
 	return "http://" + string(node.Data)
 }
 
-// begin starts everything and waits until the router at base answers calls.
-func (l *live) begin(base string) {
+// startAll starts all services and waits until the router at base answers calls.
+func (l *live) startAll(base string) {
 	for _, start := range l.start {
 		start()
 	}
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(testTimeout)
 	for time.Now().Before(deadline) {
 		answer, err := call(base, "GET", "/svc/none", "", nil)
 		if err == nil && answer.status == http.StatusNotFound {
@@ -255,7 +254,7 @@
 	model := l.addAgent("lm", engine.Config{Slots: 2}, nil)
 	plain := l.addAgent("app", engine.Config{Plain: true, Slots: 2}, nil)
 	base := l.addRouter()
-	l.begin(base)
+	l.startAll(base)
 	for _, test := range []struct {
 		name, path, body, contains string
 		engine                     *engine.Engine
@@ -276,16 +275,14 @@
 	}
 }
 
-// Symptom: a router refuses to start, as its data port is its control port.
-// Events: two free ports are looked for one after the other.
-// Cause: the first was closed before the second was looked for, so the kernel
-// could name the same one again.
+// A router refuses to start if its data port is its control port. A listener that
+// was closed to free its port lets the kernel assign the same port again.
 func TestFreePortsDiffer(t *testing.T) {
 	seen := make(map[fleet.Address]bool)
 	for range 2000 {
 		address := freePort(t)
 		if seen[address] {
-			t.Fatalf("%s was handed out twice", address)
+			t.Fatalf("%s was returned twice", address)
 		}
 		seen[address] = true
 	}
--- a/internal/pathtest/main_test.go
+++ b/internal/pathtest/main_test.go
@@ -6,8 +6,8 @@
 	"github.com/bluebellchute/bluebellchute/internal/testseed"
 )
 
-// TestMain fixes the seed of the drawn tests, so that each run gives the same
-// verdict.
+// TestMain fixes the seed of the property tests, so that each run gives the same
+// result.
 func TestMain(m *testing.M) {
 	testseed.Run(m, testseed.Flag{Name: "rapid.checks", Value: "400"}, testseed.NoFailFile)
 }
--- a/internal/pathtest/matrix_test.go
+++ b/internal/pathtest/matrix_test.go
@@ -12,68 +12,69 @@
 	"github.com/bluebellchute/bluebellchute/internal/settings"
 )
 
-// cell is one cell of the fault matrix while it runs.
+// cell runs one cell of the fault matrix.
 type cell struct {
 	*sim
-	hit     *message  // the message that the fault meets
-	leaving *simNode  // the agent that the fault makes leave
-	left    time.Time // when that began
+	target       *message  // the message that the fault is injected into
+	leaving      *simNode  // the agent that the fault takes out of service
+	leavingSince time.Time // zero if no agent leaves
 }
 
-// matrixFault is a row of the fault matrix. strike is called for the first
-// message of the step once the fleet is saturated.
+// matrixFault is a row of the fault matrix.
 type matrixFault struct {
-	name   string
-	strike func(c *cell, m *message)
-	// unknown tells that requests in flight may end with an unknown outcome;
-	// without it every request must be completed.
-	unknown bool
+	name string
+	// inject is called with the first message of the step after the fleet has
+	// been saturated.
+	inject func(c *cell, m *message)
+	// allowsUnknown permits requests in flight to end with an unknown outcome.
+	// If it is false, every request must complete.
+	allowsUnknown bool
 }
 
 var matrixFaults = []matrixFault{
-	{name: "input dropped", strike: func(_ *cell, m *message) { m.dropped = true }},
-	{name: "input delayed", strike: func(_ *cell, m *message) { m.delay += 700 * time.Millisecond }},
-	{name: "input doubled", strike: func(_ *cell, m *message) { m.doubled = true }},
-	{name: "inputs reordered", strike: func(_ *cell, m *message) { m.delay += 3 * hop }},
-	{name: "held past a lease", strike: func(_ *cell, m *message) { m.delay += 3 * time.Second }},
-	{name: "agent restarted empty", strike: func(c *cell, m *message) { c.crash(c.agentOf(m)) }, unknown: true},
-	{name: "router restarted empty", strike: func(c *cell, m *message) { c.crash(c.routerOf(m)) }},
-	{name: "agent paused", strike: func(c *cell, m *message) { c.agentOf(m).paused = c.now.Add(3 * time.Second) }},
-	{name: "router paused", strike: func(c *cell, m *message) { c.routerOf(m).paused = c.now.Add(3 * time.Second) }},
-	{name: "partition and rejoin", strike: func(c *cell, _ *message) {
-		half := func(n *simNode) bool { return n == c.agents[0] || n == c.routers[0] }
-		c.partition(func(a, b *simNode) bool { return half(a) != half(b) }, 5*time.Second)
+	{name: "input dropped", inject: func(_ *cell, m *message) { m.dropped = true }},
+	{name: "input delayed", inject: func(_ *cell, m *message) { m.delay += 700 * time.Millisecond }},
+	{name: "input doubled", inject: func(_ *cell, m *message) { m.duplicated = true }},
+	{name: "inputs reordered", inject: func(_ *cell, m *message) { m.delay += 3 * hop }},
+	{name: "held past a lease", inject: func(_ *cell, m *message) { m.delay += 3 * time.Second }},
+	{name: "agent restarted empty", inject: func(c *cell, m *message) { c.crash(c.agentOf(m)) }, allowsUnknown: true},
+	{name: "router restarted empty", inject: func(c *cell, m *message) { c.crash(c.routerOf(m)) }},
+	{name: "agent paused", inject: func(c *cell, m *message) { c.agentOf(m).pausedUntil = c.now.Add(3 * time.Second) }},
+	{name: "router paused", inject: func(c *cell, m *message) { c.routerOf(m).pausedUntil = c.now.Add(3 * time.Second) }},
+	{name: "partition and rejoin", inject: func(c *cell, _ *message) {
+		inHalf := func(n *simNode) bool { return n == c.agents[0] || n == c.routers[0] }
+		c.partition(func(a, b *simNode) bool { return inHalf(a) != inHalf(b) }, 5*time.Second)
 	}},
-	{name: "agent cut off and back", strike: func(c *cell, m *message) {
+	{name: "agent cut off and back", inject: func(c *cell, m *message) {
 		n := c.agentOf(m)
 		c.partition(func(a, b *simNode) bool { return a == n || b == n }, 5*time.Second)
 	}},
-	{name: "flood", strike: func(c *cell, _ *message) {
+	{name: "flood", inject: func(c *cell, _ *message) {
 		for i := range 300 {
-			c.ask(c.routers[i%2], "acme/lab/bob", func(request *router.Request) { request.Deadline = c.now.Add(time.Minute) })
+			c.submit(c.routers[i%2], "acme/lab/bob", func(request *router.Request) { request.Deadline = c.now.Add(time.Minute) })
 		}
 	}},
-	{name: "store down", strike: func(c *cell, m *message) {
-		// What a store that is cut off still shows is old: here, from a time
-		// when the accounts were disabled.
+	{name: "store down", inject: func(c *cell, m *message) {
+		// A store that is cut off serves an outdated tree: here, one in which
+		// the accounts are disabled.
 		old, err := settings.ParseINI([]byte("[acme]\ndisabled = true\n[acme/lab/ann]\n[acme/lab/bob]\n"))
 		if err != nil {
 			c.t.Fatal(err)
 		}
 		c.stepRouter(c.routerOf(m), router.SettingsChanged{View: settings.NewView(old)})
 	}},
-	{name: "silent connection", strike: func(c *cell, m *message) {
+	{name: "silent connection", inject: func(c *cell, m *message) {
 		for _, conn := range c.conns {
 			conn.silent = true
 		}
 		m.dropped = true
 	}},
-	{name: "agent leaving", strike: func(c *cell, m *message) {
-		n := c.leaves(m)
-		c.after(0, func() { c.stepAgent(n, agent.Stopping{}) })
+	{name: "agent leaving", inject: func(c *cell, m *message) {
+		n := c.markLeaving(m)
+		c.scheduleAfter(0, func() { c.stepAgent(n, agent.Stopping{}) })
 	}},
-	{name: "listed as leaving", strike: func(c *cell, m *message) {
-		n := c.leaves(m)
+	{name: "listed as leaving", inject: func(c *cell, m *message) {
+		n := c.markLeaving(m)
 		view := membership.View{Version: 2}
 		for _, node := range c.members.Nodes {
 			if node.Control == n.node.Control {
@@ -82,10 +83,10 @@
 			view.Nodes = append(view.Nodes, node)
 		}
 		for _, r := range c.routers {
-			c.after(0, func() { c.stepRouter(r, router.MembersChanged{View: view}) })
+			c.scheduleAfter(0, func() { c.stepRouter(r, router.MembersChanged{View: view}) })
 		}
 	}},
-	{name: "crossed answers", strike: func(c *cell, m *message) {
+	{name: "crossed answers", inject: func(c *cell, m *message) {
 		for _, conn := range c.conns {
 			if !conn.closed {
 				conn.crossed = true
@@ -95,34 +96,35 @@
 	}},
 }
 
-// leaves notes that the agent that a message concerns leaves.
-func (c *cell) leaves(m *message) *simNode {
-	c.leaving, c.left = c.agentOf(m), c.now
+// markLeaving records that the agent of a message is leaving, and returns it.
+func (c *cell) markLeaving(m *message) *simNode {
+	c.leaving, c.leavingSince = c.agentOf(m), c.now
 	return c.leaving
 }
 
-// mostLeaving is the time after which a leaving agent must get no new work.
-const mostLeaving = 2 * time.Second
+// maxLeavingDelay is the time after which a leaving agent must receive no new
+// requests.
+const maxLeavingDelay = 2 * time.Second
 
-// checkLeaving checks that a leaving agent gets no new work. A router that had
-// nothing to do with it may learn of it by one refusal.
+// checkLeaving checks that a leaving agent receives no new requests. Each router
+// may send it one, and learns from the refusal that the agent is leaving.
 func (c *cell) checkLeaving() {
 	c.t.Helper()
 	if c.leaving == nil {
 		return
 	}
-	late := 0
-	for _, at := range c.leaving.sentTo {
-		if at.After(c.left.Add(mostLeaving)) {
-			late++
+	sentLate := 0
+	for _, at := range c.leaving.dispatchTimes {
+		if at.After(c.leavingSince.Add(maxLeavingDelay)) {
+			sentLate++
 		}
 	}
-	if late > len(c.routers) {
-		c.t.Error(fmt.Sprintf("a leaving agent was sent %d requests", late))
+	if sentLate > len(c.routers) {
+		c.t.Error(fmt.Sprintf("a leaving agent was sent %d requests", sentLate))
 	}
 }
 
-// agentOf is the agent that a message concerns.
+// agentOf returns the agent at either end of a message, or the first agent.
 func (c *cell) agentOf(m *message) *simNode {
 	for _, n := range []*simNode{m.to, m.from} {
 		if n.node.Role == fleet.RoleAgent {
@@ -132,7 +134,7 @@
 	return c.agents[0]
 }
 
-// routerOf is the router that a message concerns.
+// routerOf returns the router at either end of a message.
 func (c *cell) routerOf(m *message) *simNode {
 	if m.to.node.Role == fleet.RoleRouter {
 		return m.to
@@ -140,11 +142,11 @@
 	return m.from
 }
 
-// TestMatrix walks the fault matrix over the decision cores of two routers and
-// two agents with two slots each, whose requests may not run twice. Each cell
-// lets one fault strike at one step. Afterwards nothing may have run twice, no
-// request that ran may be called not run, and every request must have its
-// whole answer, unless the only process that knew of it is gone.
+// TestMatrix injects each fault at each step into the decision cores of two
+// routers and two agents with two slots each. The requests are not idempotent.
+// Afterwards none may have run twice, none that ran may be reported as not run,
+// and each must have its complete answer unless the only process that knew of it
+// was restarted.
 func TestMatrix(t *testing.T) {
 	steps := []fleet.Step{
 		fleet.StepAccept, fleet.StepWait, fleet.StepOffer, fleet.StepGrant,
@@ -155,25 +157,24 @@
 			t.Run(fmt.Sprintf("%s/%s", step, fault.name), func(t *testing.T) {
 				c := &cell{sim: newSim(t, 2, 2, 1)}
 				c.saturate()
-				c.strikeAt(step, fault.strike)
-				c.refill()
+				c.injectAt(step, fault.inject)
+				c.keepLoaded()
 				c.settle()
-				if c.hit == nil {
-					t.Fatal("no message of the step met the fault")
+				if c.target == nil {
+					t.Fatal("the step had no message to inject the fault into")
 				}
 				c.checkAll()
-				c.checkCompleted(fault.unknown)
+				c.checkCompleted(fault.allowsUnknown)
 				c.checkLeaving()
 			})
 		}
 	}
 }
 
-// Symptom: a call with an Idempotency-Key runs twice.
-// Sequence: each of two routers is cut off from another guard of the key, and
-// the caller sends the call to both.
-// Cause: each guard sees the key for the first time.
-func TestKeyNeedsAllItsGuards(t *testing.T) {
+// A request with an Idempotency-Key must not run twice when it is sent to two
+// routers, each of which is cut off from a different guard of the key. Each
+// guard then sees the key for the first time.
+func TestKeyNeedsAllGuards(t *testing.T) {
 	for seed := range uint64(10) {
 		s := newSim(t, 2, 2, seed)
 		s.partition(func(a, b *simNode) bool {
@@ -182,7 +183,7 @@
 		}, time.Minute)
 		key, runs := s.newID().String(), 0
 		for _, n := range s.routers {
-			s.ask(n, "acme/lab/ann", func(request *router.Request) { request.Key = key })
+			s.submit(n, "acme/lab/ann", func(request *router.Request) { request.Key = key })
 		}
 		s.settle()
 		s.checkAll()
@@ -195,42 +196,42 @@
 	}
 }
 
-// saturate lets more requests wait than the slots take.
+// saturate submits more requests than there are slots.
 func (c *cell) saturate() {
 	for i := range 10 {
-		c.askLong(i)
+		c.submitLong(i)
 	}
 	c.run(30 * time.Millisecond)
 }
 
-// refill brings requests while the fault acts.
-func (c *cell) refill() {
+// keepLoaded submits requests during the fault.
+func (c *cell) keepLoaded() {
 	for i := range 16 {
-		c.askLong(i)
+		c.submitLong(i)
 		c.run(200 * time.Millisecond)
 	}
 }
 
-func (c *cell) askLong(i int) {
+func (c *cell) submitLong(i int) {
 	account := []fleet.Account{"acme/lab/ann", "acme/lab/bob"}[i/2%2]
-	c.ask(c.routers[i%2], account, func(request *router.Request) {
+	c.submit(c.routers[i%2], account, func(request *router.Request) {
 		request.Stream = i%3 == 0
 		request.Deadline = c.now.Add(time.Minute)
 	})
 }
 
-// strikeAt lets the fault strike the next message of the step. While a request
-// waits there is no message: the fault then strikes between two.
-func (c *cell) strikeAt(step fleet.Step, strike func(*cell, *message)) {
+// injectAt injects the fault into the next message of the step. A waiting request
+// exchanges no message: for StepWait the fault is injected immediately.
+func (c *cell) injectAt(step fleet.Step, inject func(*cell, *message)) {
 	if step == fleet.StepWait {
-		c.hit = &message{step: step, from: c.agents[0], to: c.routers[0]}
-		strike(c, c.hit)
+		c.target = &message{step: step, from: c.agents[0], to: c.routers[0]}
+		inject(c, c.target)
 		return
 	}
 	c.fault = func(m *message) {
-		if c.hit == nil && m.step == step {
-			c.hit = m
-			strike(c, m)
+		if c.target == nil && m.step == step {
+			c.target = m
+			inject(c, m)
 		}
 	}
 }
@@ -239,10 +240,10 @@
 	c.t.Helper()
 	completed := 0
 	for _, call := range c.calls {
-		if len(call.finishes) != 1 {
-			continue // its router is gone
+		if len(call.results) != 1 {
+			continue // its router was restarted
 		}
-		result := call.finishes[0]
+		result := call.results[0]
 		if result.Outcome == fleet.OutcomeCompleted {
 			completed++
 			continue
@@ -252,6 +253,6 @@
 		}
 	}
 	if completed < 6 {
-		c.t.Error(fmt.Sprintf("only %d of %d requests were completed", completed, len(c.calls)))
+		c.t.Error(fmt.Sprintf("only %d of %d requests completed", completed, len(c.calls)))
 	}
 }
--- a/internal/pathtest/property_test.go
+++ b/internal/pathtest/property_test.go
@@ -11,12 +11,12 @@
 	"github.com/bluebellchute/bluebellchute/internal/router"
 )
 
-// TestPathKeepsItsPromises draws requests and faults of the network and the
-// nodes: lost, late, doubled and crossed messages, restarts with empty state,
-// pauses and partitions. Whatever happens, a request that may not run twice
-// does not, no request that ran is called not run, a whole answer is the one
-// that was made for the request, and each request gets one final result.
-func TestPathKeepsItsPromises(t *testing.T) {
+// TestPathGuarantees draws requests and faults of the network and the nodes:
+// lost, delayed, duplicated and misdirected messages, restarts with empty state,
+// pauses and partitions. In all cases a request that is not idempotent runs at
+// most once, no request that ran is reported as not run, a complete answer is the
+// one that was made for the request, and each request gets one final result.
+func TestPathGuarantees(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSim(t, rapid.IntRange(1, 3).Draw(t, "routers"), rapid.IntRange(1, 3).Draw(t, "agents"),
 			rapid.Uint64().Draw(t, "seed"))
@@ -30,7 +30,7 @@
 		s.fault = func(*message) {}
 		s.settle()
 		for _, call := range s.calls {
-			if err := s.check(call); err != nil {
+			if err := s.checkCall(call); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -53,7 +53,7 @@
 	if rapid.IntRange(0, 3).Draw(t, "keyed") == 0 {
 		key = s.keyFor(rapid.IntRange(0, 2).Draw(t, "key"))
 	}
-	call := s.ask(n, account, func(request *router.Request) {
+	call := s.submit(n, account, func(request *router.Request) {
 		request.Stream = rapid.Bool().Draw(t, "stream")
 		request.Idempotent = key == "" && rapid.Bool().Draw(t, "idempotent")
 		request.Deadline = s.now.Add(time.Duration(rapid.IntRange(200, 30000).Draw(t, "deadline")) * time.Millisecond)
@@ -65,7 +65,7 @@
 	}
 }
 
-// keyFor returns one of a few keys, each a UUIDv7 made after the agents' start.
+// keyFor returns the key with a number: a UUIDv7 made after the agents' start.
 func (s *sim) keyFor(number int) string {
 	for len(s.keys) <= number {
 		s.keys = append(s.keys, s.newID().String())
@@ -73,7 +73,7 @@
 	return s.keys[number]
 }
 
-// drawFault lets something happen to a node or to the network.
+// drawFault draws a fault of a node or of the network, or none.
 func (s *sim) drawFault(t *rapid.T) {
 	nodes := s.nodes()
 	n := nodes[rapid.IntRange(0, len(nodes)-1).Draw(t, "node")]
@@ -82,17 +82,18 @@
 	case 0:
 		s.crash(n)
 	case 1:
-		n.paused = s.now.Add(span)
+		n.pausedUntil = s.now.Add(span)
 	case 2:
 		s.partition(func(a, b *simNode) bool { return (a == n) != (b == n) }, span)
 	case 3:
-		// One router is cut off from one agent only.
+		// Two nodes are cut off from each other only.
 		other := nodes[rapid.IntRange(0, len(nodes)-1).Draw(t, "other")]
 		s.partition(func(a, b *simNode) bool { return a == n && b == other || a == other && b == n }, span)
 	}
 }
 
-// randomFaults changes messages at a rate.
+// randomFaults returns a function that drops, delays, duplicates or misdirects
+// a fraction of the messages. It leaves callers' requests alone.
 func (s *sim) randomFaults(rate float64) func(*message) {
 	return func(m *message) {
 		if m.step == fleet.StepAccept && m.from == m.to || s.random.Float64() >= rate {
@@ -104,7 +105,7 @@
 		case 1:
 			m.delay += time.Duration(s.random.IntN(3000)) * time.Millisecond
 		case 2:
-			m.doubled = true
+			m.duplicated = true
 		case 3:
 			m.crossed = true
 		}
--- a/internal/pathtest/sim_nodes_test.go
+++ b/internal/pathtest/sim_nodes_test.go
@@ -17,65 +17,65 @@
 // Head implements router.Sink.
 func (s *simSink) Head(int, []*rpc.Header) {}
 
-// simAnswer is an answer as its agent holds it.
+// simAnswer is an answer held by its agent.
 type simAnswer struct {
 	body  string
 	seal  *agent.Seal
 	conns []*simConn
 }
 
-// simConn is one connection on the data path.
+// simConn is a connection of the data path.
 type simConn struct {
-	router, agent   *simNode
-	routerE, agentE uint64
-	attempt         router.AttemptID
-	receiver        *router.Receiver
-	silence         time.Duration
-	id              fleet.RequestID
-	sent            uint64
-	headSent, ended bool
-	carries         bool // the agent may send grants with its frames
-	silent          bool // nothing arrives any more
-	crossed         bool // the next frame carries another request's id
-	closed          bool // the router has let go of it
-	heard           time.Time
-	progress        bool
-}
-
-// stepRouter steps a router's world and carries out its commands.
+	router, agent           *simNode
+	routerEpoch, agentEpoch uint64
+	attempt                 router.AttemptID
+	receiver                *router.Receiver
+	silenceTimeout          time.Duration
+	id                      fleet.RequestID
+	sent                    uint64
+	headSent, ended         bool
+	canCarryGrants          bool // the agent may attach grants to its frames
+	silent                  bool // nothing is delivered any more
+	crossed                 bool // the next frame gets another request's id
+	closed                  bool // by the router
+	lastFrame               time.Time
+	progress                bool
+}
+
+// stepRouter steps a router's decision core and executes its commands.
 func (s *sim) stepRouter(n *simNode, inputs ...router.Input) {
 	outputs, next := n.router.Step(s.now, inputs)
 	for _, output := range outputs {
-		s.doRouter(n, output)
+		s.executeRouter(n, output)
 	}
-	s.planWake(n, next, func() { s.stepRouter(n) })
+	s.scheduleWake(n, next, func() { s.stepRouter(n) })
 }
 
 func (s *sim) stepAgent(n *simNode, inputs ...agent.Input) {
 	commands, next := n.agent.Step(s.now, inputs)
 	for _, command := range commands {
-		s.doAgent(n, command)
+		s.executeAgent(n, command)
 	}
-	s.planWake(n, next, func() { s.stepAgent(n) })
+	s.scheduleWake(n, next, func() { s.stepAgent(n) })
 }
 
-func (s *sim) planWake(n *simNode, next time.Time, step func()) {
-	n.wake++
-	wake, epoch := n.wake, n.epoch
+func (s *sim) scheduleWake(n *simNode, next time.Time, step func()) {
+	n.wakeNumber++
+	wake, epoch := n.wakeNumber, n.epoch
 	if next.IsZero() {
 		return
 	}
 	if !next.After(s.now) {
 		next = s.now.Add(time.Millisecond)
 	}
-	s.at(next, func() {
-		if n.wake == wake && n.epoch == epoch {
+	s.schedule(next, func() {
+		if n.wakeNumber == wake && n.epoch == epoch {
 			s.whenAwake(n, step)
 		}
 	})
 }
 
-func (s *sim) find(address fleet.Address) *simNode {
+func (s *sim) nodeAt(address fleet.Address) *simNode {
 	for _, n := range s.nodes() {
 		if n.node.Control == address || n.node.Data == address {
 			return n
@@ -84,7 +84,7 @@
 	return nil
 }
 
-func (s *sim) doRouter(n *simNode, output router.Output) {
+func (s *sim) executeRouter(n *simNode, output router.Output) {
 	switch c := output.(type) {
 	case router.SendRun:
 		s.sendRun(n, c)
@@ -93,7 +93,7 @@
 	case router.SendFence:
 		s.sendFence(n, c)
 	case router.SendCancel:
-		s.send(message{step: fleet.StepSend, from: n, to: s.find(c.Agent), deliver: func(m *message) {
+		s.send(message{step: fleet.StepSend, from: n, to: s.nodeAt(c.Agent), deliver: func(m *message) {
 			s.stepAgent(m.to, agent.Cancel{ID: c.Request})
 		}})
 	case router.SendOffer:
@@ -108,7 +108,7 @@
 func (s *sim) finish(n *simNode, c router.Finish) {
 	for _, call := range s.calls {
 		if call.request == c.Request {
-			call.finishes = append(call.finishes, c.Result)
+			call.results = append(call.results, c.Result)
 			_, body := c.Request.Answer.Answer()
 			call.body = string(body)
 			if call.sink != nil {
@@ -118,34 +118,34 @@
 	}
 }
 
-// askAgent steps an agent with an input that it answers.
-func (s *sim) askAgent(n *simNode, build func(agent.Ticket) agent.Input, answered func(agent.Answer)) {
+// callAgent steps an agent with an input that it replies to, then or later.
+func (s *sim) callAgent(n *simNode, build func(agent.Ticket) agent.Input, answered func(agent.Answer)) {
 	n.ticket++
-	n.asks[n.ticket] = answered
+	n.pendingReplies[n.ticket] = answered
 	s.stepAgent(n, build(n.ticket))
 }
 
 func (s *sim) connect(n *simNode, attempt router.AttemptID, request *router.Request, to *simNode, silence time.Duration) *simConn {
 	c := &simConn{
-		router: n, agent: to, routerE: n.epoch, agentE: to.epoch, attempt: attempt,
-		receiver: request.Answer, id: request.Answer.ID(), silence: silence, heard: s.now,
+		router: n, agent: to, routerEpoch: n.epoch, agentEpoch: to.epoch, attempt: attempt,
+		receiver: request.Answer, id: request.Answer.ID(), silenceTimeout: silence, lastFrame: s.now,
 	}
 	s.conns = append(s.conns, c)
-	s.watch(c)
+	s.watchSilence(c)
 	return c
 }
 
-// watch gives a connection up that is silent for too long, or whose agent's
-// process is gone.
-func (s *sim) watch(c *simConn) {
-	s.at(c.heard.Add(c.silence), func() {
+// watchSilence reports a connection as broken to its router once no frame has
+// arrived for the connection's silence timeout.
+func (s *sim) watchSilence(c *simConn) {
+	s.schedule(c.lastFrame.Add(c.silenceTimeout), func() {
 		s.whenAwake(c.router, func() {
 			switch {
-			case c.closed || c.router.epoch != c.routerE:
-			case s.now.Sub(c.heard) >= c.silence:
+			case c.closed || c.router.epoch != c.routerEpoch:
+			case s.now.Sub(c.lastFrame) >= c.silenceTimeout:
 				s.breakConn(c, router.AnswerBroken{})
 			default:
-				s.watch(c)
+				s.watchSilence(c)
 			}
 		})
 	})
@@ -159,17 +159,17 @@
 }
 
 func (s *sim) sendRun(n *simNode, c router.SendRun) {
-	to := s.find(c.Agent.Control)
+	to := s.nodeAt(c.Agent.Control)
 	conn := s.connect(n, c.Attempt, c.Request, to, c.Silence)
 	epoch := n.epoch
-	to.sentTo = append(to.sentTo, s.now)
+	to.dispatchTimes = append(to.dispatchTimes, s.now)
 	s.send(message{step: fleet.StepSend, from: n, to: to, conn: conn, deliver: func(*message) {
 		if conn.silent {
 			return
 		}
-		conn.agentE = to.epoch
+		conn.agentEpoch = to.epoch
 		s.stepAgent(to, agent.Acknowledge{IDs: requestIDs(c.Acks)})
-		s.askAgent(to, func(ticket agent.Ticket) agent.Input {
+		s.callAgent(to, func(ticket agent.Ticket) agent.Input {
 			return agent.Dispatch{
 				Ticket: ticket, ID: c.Request.ID, Attempt: c.Attempt.Number, Account: c.Request.Account, Service: simService,
 				Router: n.node.Control, RouterIncarnation: epoch, Grant: c.Grant, Deadline: c.Request.Deadline,
@@ -180,37 +180,37 @@
 	}})
 }
 
-// beginAnswer sends the first frame.
+// beginAnswer sends the first frame of an answer.
 func (s *sim) beginAnswer(n *simNode, conn *simConn, answer agent.Answer) {
 	switch a := answer.(type) {
 	case agent.Refused:
 		s.frame(conn, &rpc.AnswerFrame{Frame: &rpc.AnswerFrame_Refused{Refused: &rpc.Refused{Reason: a.Reason}}})
 	case agent.Admitted:
 		held := &simAnswer{}
-		n.held[conn.id] = held
+		n.heldAnswers[conn.id] = held
 		s.frame(conn, &rpc.AnswerFrame{Frame: &rpc.AnswerFrame_Accepted{Accepted: &rpc.Accepted{FreeSlots: a.FreeSlots}}})
-		conn.carries = true
+		conn.canCarryGrants = true
 		s.attach(conn, held)
 	}
 }
 
 func (s *sim) sendResume(n *simNode, c router.SendResume) {
-	to := s.find(c.Agent)
+	to := s.nodeAt(c.Agent)
 	conn := s.connect(n, c.Attempt, c.Request, to, c.Silence)
 	conn.sent, conn.headSent = c.Request.Answer.Position()
 	s.send(message{step: fleet.StepAnswer, from: n, to: to, conn: conn, deliver: func(*message) {
 		if conn.silent {
 			return
 		}
-		conn.agentE = to.epoch
-		s.askAgent(to, func(ticket agent.Ticket) agent.Input {
+		conn.agentEpoch = to.epoch
+		s.callAgent(to, func(ticket agent.Ticket) agent.Input {
 			return agent.Resume{Ticket: ticket, ID: conn.id}
 		}, func(answer agent.Answer) {
 			if refused, ok := answer.(agent.NotServed); ok {
 				s.failedFrame(conn, refused.State)
 				return
 			}
-			s.attach(conn, to.held[conn.id])
+			s.attach(conn, to.heldAnswers[conn.id])
 		})
 	}})
 }
@@ -219,28 +219,28 @@
 	s.frame(conn, &rpc.AnswerFrame{Frame: &rpc.AnswerFrame_Failed{Failed: &rpc.Failed{State: state}}})
 }
 
-// attach lets a connection read an answer as it grows.
+// attach sends an answer on a connection while it is being made.
 func (s *sim) attach(conn *simConn, held *simAnswer) {
 	held.conns = append(held.conns, conn)
-	s.pump(conn, held)
-	s.beat(conn)
+	s.sendPending(conn, held)
+	s.sendHeartbeats(conn)
 }
 
-func (s *sim) beat(conn *simConn) {
-	s.after(heartbeat, func() {
-		if conn.ended || conn.closed || conn.agent.epoch != conn.agentE {
+func (s *sim) sendHeartbeats(conn *simConn) {
+	s.scheduleAfter(heartbeat, func() {
+		if conn.ended || conn.closed || conn.agent.epoch != conn.agentEpoch {
 			return
 		}
 		s.whenAwake(conn.agent, func() {
 			s.frame(conn, &rpc.AnswerFrame{Frame: &rpc.AnswerFrame_Heartbeat{Heartbeat: &rpc.Heartbeat{}}})
-			s.beat(conn)
+			s.sendHeartbeats(conn)
 		})
 	})
 }
 
-// pump sends what a connection lacks of an answer.
-func (s *sim) pump(conn *simConn, held *simAnswer) {
-	if conn.ended || conn.agent.epoch != conn.agentE {
+// sendPending sends the part of an answer that a connection has not sent yet.
+func (s *sim) sendPending(conn *simConn, held *simAnswer) {
+	if conn.ended || conn.agent.epoch != conn.agentEpoch {
 		return
 	}
 	if held.body != "" && !conn.headSent {
@@ -269,29 +269,29 @@
 	id := conn.id
 	frame.RequestId = id[:]
 	s.send(message{step: fleet.StepAnswer, from: conn.agent, to: conn.router, conn: conn, deliver: func(m *message) {
-		if conn.closed || conn.silent || conn.router.epoch != conn.routerE {
+		if conn.closed || conn.silent || conn.router.epoch != conn.routerEpoch {
 			return
 		}
 		if m.crossed || conn.crossed {
 			conn.crossed = false
 			frame = crossedFrame(frame, s.newID())
 		}
-		s.take(conn, frame)
+		s.receiveFrame(conn, frame)
 	}})
 }
 
-// crossedFrame is a frame of the answer to another request.
+// crossedFrame returns the frame as if it belonged to another request's answer.
 func crossedFrame(frame *rpc.AnswerFrame, other fleet.RequestID) *rpc.AnswerFrame {
 	crossed := proto.Clone(frame).(*rpc.AnswerFrame)
 	crossed.RequestId = other[:]
 	if data := crossed.GetData(); data != nil {
-		data.Data = []byte(madeFor(other))[:len(data.Data)]
+		data.Data = []byte(expectedAnswer(other))[:len(data.Data)]
 	}
 	return crossed
 }
 
-func (s *sim) take(conn *simConn, frame *rpc.AnswerFrame) {
-	conn.heard = s.now
+func (s *sim) receiveFrame(conn *simConn, frame *rpc.AnswerFrame) {
+	conn.lastFrame = s.now
 	progress, err := conn.receiver.Take(frame)
 	if err != nil {
 		s.breakConn(conn, router.AnswerBroken{Bad: errors.Is(err, router.ErrChecksum)})
@@ -300,7 +300,7 @@
 	conn.progress = true
 	conn.closed = progress.Final()
 	if granted := router.GrantsOf(conn.agent.node.Control, simService, frame, s.now); granted != nil {
-		s.carried++
+		s.grantFrames++
 		s.stepRouter(conn.router, granted)
 	}
 	if input := router.InputOf(conn.attempt, progress, frame); input != nil {
@@ -309,9 +309,9 @@
 }
 
 func (s *sim) sendFence(n *simNode, c router.SendFence) {
-	to := s.find(c.Agent)
+	to := s.nodeAt(c.Agent)
 	s.rpc(fleet.StepSend, n, to, func(reply func(func())) {
-		s.askAgent(to, func(ticket agent.Ticket) agent.Input {
+		s.callAgent(to, func(ticket agent.Ticket) agent.Input {
 			return agent.Fence{Ticket: ticket, ID: c.ID}
 		}, func(answer agent.Answer) {
 			state := answer.(agent.FenceState).State
@@ -321,7 +321,7 @@
 }
 
 func (s *sim) sendOffer(n *simNode, c router.SendOffer) {
-	to, epoch := s.find(c.Agent), n.epoch
+	to, epoch := s.nodeAt(c.Agent), n.epoch
 	step := fleet.StepOffer
 	if len(c.Message.Acknowledged) > 0 {
 		step = fleet.StepAcknowledge
@@ -329,7 +329,7 @@
 	replied := router.OfferReplied{Agent: c.Agent, Sequence: c.Message.Sequence}
 	s.rpc(step, n, to, func(reply func(func())) {
 		s.stepAgent(to, agent.Acknowledge{IDs: requestIDs(c.Message.Acknowledged)})
-		s.askAgent(to, func(ticket agent.Ticket) agent.Input {
+		s.callAgent(to, func(ticket agent.Ticket) agent.Input {
 			return agent.Offered{
 				Ticket: ticket, Router: n.node.Control, Incarnation: epoch, Sequence: c.Message.Sequence,
 				Full: c.Message.Full, Offers: agentOffers(c.Message.Offers), Declined: c.Message.Declined,
@@ -338,7 +338,7 @@
 			noted := answer.(agent.OfferNoted)
 			reply(func() {
 				replied.FreeSlots, replied.Resend = noted.FreeSlots, noted.Resend
-				s.stepRouter(n, s.heard(to), replied)
+				s.stepRouter(n, s.agentState(to), replied)
 			})
 		})
 	}, func() {
@@ -355,9 +355,9 @@
 	return ids
 }
 
-// heard is what an agent's envelope says.
-func (s *sim) heard(n *simNode) router.Input {
-	return router.AgentHeard{Agent: n.node.Control, Incarnation: n.epoch, Leaving: n.leaves}
+// agentState returns the router's input for the state in an agent's envelope.
+func (s *sim) agentState(n *simNode) router.Input {
+	return router.AgentHeard{Agent: n.node.Control, Incarnation: n.epoch, Leaving: n.leaving}
 }
 
 func agentOffers(messages []*rpc.AccountOffer) []agent.AccountOffer {
@@ -372,9 +372,9 @@
 }
 
 func (s *sim) sendClaim(n *simNode, c router.SendClaim) {
-	to, id, epoch := s.find(c.Guard), c.Request.ID, n.epoch
+	to, id, epoch := s.nodeAt(c.Guard), c.Request.ID, n.epoch
 	s.rpc(fleet.StepAccept, n, to, func(reply func(func())) {
-		s.askAgent(to, func(ticket agent.Ticket) agent.Input {
+		s.callAgent(to, func(ticket agent.Ticket) agent.Input {
 			return agent.Claim{
 				Ticket: ticket, Account: c.Request.Account, Key: c.Request.Key, ID: id,
 				BodyHash: string(c.Request.BodyHash[:]), RunningAt: c.Running, Release: c.Release,
@@ -391,31 +391,31 @@
 	}, func() { s.stepRouter(n, router.ClaimReplied{Request: id, Round: c.Round, Guard: c.Guard}) })
 }
 
-func (s *sim) doAgent(n *simNode, command agent.Command) {
+func (s *sim) executeAgent(n *simNode, command agent.Command) {
 	switch c := command.(type) {
 	case agent.Reply:
-		if answered := n.asks[c.Ticket]; answered != nil {
-			delete(n.asks, c.Ticket)
+		if answered := n.pendingReplies[c.Ticket]; answered != nil {
+			delete(n.pendingReplies, c.Ticket)
 			answered(c.Answer)
 		}
 	case agent.StartRun:
 		s.startRun(n, c.ID)
 	case agent.CancelRun:
 		epoch := n.epoch
-		s.after(hop, func() {
+		s.scheduleAfter(hop, func() {
 			if n.epoch == epoch {
 				s.stepAgent(n, agent.RunEnded{ID: c.ID, End: agent.RunFailed})
 			}
 		})
 	case agent.Seal:
-		if held := n.held[c.ID]; held != nil && held.seal == nil {
+		if held := n.heldAnswers[c.ID]; held != nil && held.seal == nil {
 			held.seal = &c
-			s.grow(held)
+			s.sendPendingToAll(held)
 		}
 	case agent.ForgetAnswer:
-		delete(n.held, c.ID)
+		delete(n.heldAnswers, c.ID)
 	case agent.SetFreeSlots:
-		n.leaves = c.Leaving
+		n.leaving = c.Leaving
 	case agent.SendGrants:
 		s.sendGrants(n, c)
 	case agent.AskRouter:
@@ -426,10 +426,10 @@
 }
 
 func (s *sim) confirmKey(n *simNode, c agent.ConfirmKey) {
-	to, epoch := s.find(c.Guard), n.epoch
+	to, epoch := s.nodeAt(c.Guard), n.epoch
 	answered := agent.KeyConfirmed{ID: c.ID, Guard: c.Guard}
 	s.rpc(fleet.StepSend, n, to, func(reply func(func())) {
-		s.askAgent(to, func(ticket agent.Ticket) agent.Input {
+		s.callAgent(to, func(ticket agent.Ticket) agent.Input {
 			return agent.Claim{
 				Ticket: ticket, Router: n.node.Control, Incarnation: epoch, Account: c.Account, Key: c.Key,
 				ID: c.ID, RunningAt: n.node.Data, Attempt: c.Attempt,
@@ -444,18 +444,18 @@
 	})
 }
 
-func (s *sim) grow(held *simAnswer) {
+func (s *sim) sendPendingToAll(held *simAnswer) {
 	for _, conn := range held.conns {
-		s.pump(conn, held)
+		s.sendPending(conn, held)
 	}
 }
 
-// startRun runs a request at the backend server, which goes on when the agent
-// restarts.
+// startRun runs a request at the backend server. The answer grows in two parts;
+// an agent that restarts meanwhile loses it.
 func (s *sim) startRun(n *simNode, id fleet.RequestID) {
 	s.runs[id]++
-	epoch, held, body := n.epoch, n.held[id], madeFor(id)
-	half := time.Duration(10+s.random.IntN(300)) * time.Millisecond
+	epoch, held, body := n.epoch, n.heldAnswers[id], expectedAnswer(id)
+	halfTime := time.Duration(10+s.random.IntN(300)) * time.Millisecond
 	part := func(upTo int, then func()) func() {
 		return func() {
 			if n.epoch != epoch || held == nil || held.seal != nil {
@@ -463,23 +463,23 @@
 			}
 			s.whenAwake(n, func() {
 				if upTo <= len(held.body) || held.seal != nil {
-					return // pauses may swap the two parts
+					return // a pause may reorder the two parts
 				}
 				held.body = body[:upTo]
-				s.grow(held)
+				s.sendPendingToAll(held)
 				then()
 			})
 		}
 	}
-	s.after(half, part(len(body)/2, func() {}))
-	s.after(2*half, part(len(body), func() {
+	s.scheduleAfter(halfTime, part(len(body)/2, func() {}))
+	s.scheduleAfter(2*halfTime, part(len(body), func() {
 		s.stepAgent(n, agent.RunEnded{ID: id, End: agent.RunComplete, Bytes: uint64(len(body))})
 	}))
 }
 
 func (s *sim) sendGrants(n *simNode, c agent.SendGrants) {
-	to := s.find(c.Router)
-	if conn := s.carrier(n, to, c); conn != nil {
+	to := s.nodeAt(c.Router)
+	if conn := s.grantCarrier(n, to, c); conn != nil {
 		s.frame(conn, &rpc.AnswerFrame{
 			Frame:  &rpc.AnswerFrame_Heartbeat{Heartbeat: &rpc.Heartbeat{}},
 			Grants: c.Grants,
@@ -491,7 +491,7 @@
 		answered.Numbers = append(answered.Numbers, grant.Number)
 	}
 	s.rpc(fleet.StepGrant, n, to, func(reply func(func())) {
-		outputs, next := to.router.Step(s.now, []router.Input{s.heard(n), router.Granted{
+		outputs, next := to.router.Step(s.now, []router.Input{s.agentState(n), router.Granted{
 			Agent: n.node.Control, Service: simService, Grants: c.Grants, Received: s.now,
 		}})
 		epoch := to.epoch
@@ -504,24 +504,24 @@
 				})
 				continue
 			}
-			s.doRouter(to, output)
+			s.executeRouter(to, output)
 		}
-		s.planWake(to, next, func() { s.stepRouter(to) })
+		s.scheduleWake(to, next, func() { s.stepRouter(to) })
 	}, func() {
 		answered.Failed = true
 		s.stepAgent(n, answered)
 	})
 }
 
-// carrier draws whether grants ride on an answer, and returns a connection for
-// them: one that the agent takes for open, which it need not be.
-func (s *sim) carrier(n, to *simNode, c agent.SendGrants) *simConn {
+// grantCarrier draws whether an answer frame carries the grants. If so it returns
+// a connection that the agent believes to be open, otherwise nil.
+func (s *sim) grantCarrier(n, to *simNode, c agent.SendGrants) *simConn {
 	if c.ByCall || s.random.IntN(4) == 0 {
 		return nil
 	}
 	for _, conn := range slices.Backward(s.conns) {
-		mine := conn.agent == n && conn.agentE == n.epoch && conn.router == to && conn.routerE == c.Incarnation
-		if mine && conn.carries && !conn.ended {
+		matches := conn.agent == n && conn.agentEpoch == n.epoch && conn.router == to && conn.routerEpoch == c.Incarnation
+		if matches && conn.canCarryGrants && !conn.ended {
 			return conn
 		}
 	}
@@ -529,15 +529,15 @@
 }
 
 func (s *sim) askRouter(n *simNode, c agent.AskRouter) {
-	to := s.find(c.Router)
+	to := s.nodeAt(c.Router)
 	s.rpc(fleet.StepOffer, n, to, func(reply func(func())) {
 		if to.router == nil {
-			// A guard that was restarted knows of a key from the agent that runs
-			// the request, and asks that one. Agents serve no such call.
+			// A restarted guard learns of a key from the agent that runs the
+			// request, and calls that agent. Agents don't serve this call.
 			reply(func() { s.stepAgent(n, agent.FreeAnswered{Router: c.Router, Failed: true}) })
 			return
 		}
-		outputs, next := to.router.Step(s.now, []router.Input{s.heard(n), router.FreeAsked{
+		outputs, next := to.router.Step(s.now, []router.Input{s.agentState(n), router.FreeAsked{
 			Agent: n.node.Control, Service: simService, FreeSlots: c.FreeSlots,
 		}})
 		epoch := to.epoch
@@ -548,8 +548,8 @@
 				})
 				continue
 			}
-			s.doRouter(to, output)
+			s.executeRouter(to, output)
 		}
-		s.planWake(to, next, func() { s.stepRouter(to) })
+		s.scheduleWake(to, next, func() { s.stepRouter(to) })
 	}, func() { s.stepAgent(n, agent.FreeAnswered{Router: c.Router, Failed: true}) })
 }
--- a/internal/pathtest/sim_test.go
+++ b/internal/pathtest/sim_test.go
@@ -17,35 +17,35 @@
 
 const (
 	simService fleet.Service = "lm"
-	hop                      = time.Millisecond // one way between two nodes
+	hop                      = time.Millisecond // one-way delay between two nodes
 	heartbeat                = 400 * time.Millisecond
 	rpcTimeout               = time.Second
-	horizon                  = 3 * time.Minute // after which every request must have ended
+	horizon                  = 3 * time.Minute // by which every request must have ended
 )
 
-// sim joins the decision cores of routers and agents by a network in the test,
-// on a clock of its own.
+// sim connects the decision cores of routers and agents by a simulated network,
+// in simulated time.
 type sim struct {
-	t       failer
-	now     time.Time
-	events  events
-	order   uint64
-	random  *rand.Rand
-	view    settings.View
-	members membership.View
-	routers []*simNode
-	agents  []*simNode
-	calls   []*simCall
-	conns   []*simConn
-	runs    map[fleet.RequestID]int
-	cut     func(a, b *simNode) bool // partition
-	fault   func(*message)           // may change a message before it is sent
-	carried int                      // frames with grants that arrived
-	ids     uint64
-	keys    []string
+	t           failer
+	now         time.Time
+	events      events
+	order       uint64
+	random      *rand.Rand
+	view        settings.View
+	members     membership.View
+	routers     []*simNode
+	agents      []*simNode
+	calls       []*simCall
+	conns       []*simConn
+	runs        map[fleet.RequestID]int
+	isCut       func(a, b *simNode) bool // the current partition
+	fault       func(*message)           // may modify a message before it is sent
+	grantFrames int                      // number of frames with grants that arrived
+	ids         uint64
+	keys        []string
 }
 
-// failer is what testing.T and rapid.T have in common.
+// failer is the part of testing.T that rapid.T has too.
 type failer interface {
 	Helper()
 	Fatal(args ...any)
@@ -54,36 +54,36 @@
 
 // simNode is a router or an agent.
 type simNode struct {
-	node   fleet.Node
-	epoch  uint64 // incarnation
-	paused time.Time
-	wake   uint64
-	router *router.World
-	agent  *agent.World
-	held   map[fleet.RequestID]*simAnswer
-	asks   map[agent.Ticket]func(agent.Answer)
-	ticket agent.Ticket
-	sentTo []time.Time // when routers sent it requests
-	leaves bool        // it says that it takes no new work
+	node           fleet.Node
+	epoch          uint64 // incarnation
+	pausedUntil    time.Time
+	wakeNumber     uint64
+	router         *router.World
+	agent          *agent.World
+	heldAnswers    map[fleet.RequestID]*simAnswer
+	pendingReplies map[agent.Ticket]func(agent.Answer)
+	ticket         agent.Ticket
+	dispatchTimes  []time.Time // when routers dispatched requests to it
+	leaving        bool        // it reports that it accepts no new requests
 }
 
 // simCall is a caller's request.
 type simCall struct {
-	request  *router.Request
-	router   *simNode
-	epoch    uint64
-	finishes []router.Result
-	body     string // handed out
-	sink     *simSink
-	arrived  bool // at the router
+	request *router.Request
+	router  *simNode
+	epoch   uint64
+	results []router.Result
+	body    string // as delivered to the caller
+	sink    *simSink
+	arrived bool // whether the request reached the router
 }
 
-// simSink takes a streamed answer.
+// simSink collects a streamed answer.
 type simSink struct{ body strings.Builder }
 
 func (s *simSink) Data(data []byte) error { s.body.Write(data); return nil }
 
-// event is something that happens at a time.
+// event is a function scheduled for a time.
 type event struct {
 	at    time.Time
 	order uint64
@@ -110,14 +110,14 @@
 
 // message is one message between two nodes.
 type message struct {
-	step     fleet.Step
-	from, to *simNode
-	conn     *simConn // nil for a control message
-	delay    time.Duration
-	dropped  bool
-	doubled  bool
-	crossed  bool // carries the id of another request
-	deliver  func(*message)
+	step       fleet.Step
+	from, to   *simNode
+	conn       *simConn // nil for a control message
+	delay      time.Duration
+	dropped    bool
+	duplicated bool
+	crossed    bool // carries the id of another request
+	deliver    func(*message)
 }
 
 const simTree = `
@@ -140,7 +140,7 @@
 		random: rand.New(rand.NewPCG(seed, 1)),
 		view:   settings.NewView(tree.WithRevision(1)),
 		runs:   make(map[fleet.RequestID]int),
-		cut:    func(a, b *simNode) bool { return false },
+		isCut:  func(a, b *simNode) bool { return false },
 		fault:  func(*message) {},
 	}
 	for i := range routers {
@@ -153,7 +153,7 @@
 	for _, n := range s.nodes() {
 		s.restart(n)
 	}
-	// Agents take ids without a grant only once they are older than the ids.
+	// Agents accept an id without a grant only if they started before it was made.
 	s.run(2*agent.MaxClockSkew + time.Second)
 	return s
 }
@@ -173,10 +173,10 @@
 	return &simNode{node: node}
 }
 
-// restart begins a node anew with empty state.
+// restart starts a new incarnation of a node with empty state.
 func (s *sim) restart(n *simNode) {
 	n.epoch = uint64(s.now.UnixNano()) + 1
-	n.wake++
+	n.wakeNumber++
 	if n.node.Role == fleet.RoleRouter {
 		n.router = router.NewWorld(n.node, router.Limits{}, rand.New(rand.NewPCG(s.random.Uint64(), 2)))
 		s.stepRouter(n, router.SettingsChanged{View: s.view}, router.MembersChanged{View: s.members})
@@ -184,8 +184,8 @@
 	}
 	identity := agent.Identity{Control: n.node.Control, Data: n.node.Data, Service: simService, Incarnation: n.epoch}
 	n.agent = agent.NewWorld(identity, agentLimits, s.now)
-	n.held = make(map[fleet.RequestID]*simAnswer)
-	n.asks = make(map[agent.Ticket]func(agent.Answer))
+	n.heldAnswers = make(map[fleet.RequestID]*simAnswer)
+	n.pendingReplies = make(map[agent.Ticket]func(agent.Answer))
 	s.stepAgent(n)
 	s.stepAgent(n, agent.Settings{View: s.view}, agent.Members{View: s.members}, agent.Health{Up: true})
 }
@@ -194,16 +194,16 @@
 	MaxHeldBytes: 1 << 20, MaxHeldAnswers: 1000, MaxEnded: 10000, MaxKeys: 100, EndedLife: time.Hour, MaxAhead: 2,
 }
 
-// crash ends a node's process and begins a new one with empty state. Its
-// connections are reset.
+// crash replaces a node's process by a new one with empty state. Its connections
+// are reset.
 func (s *sim) crash(n *simNode) {
-	n.paused = time.Time{}
+	n.pausedUntil = time.Time{}
 	s.restart(n)
 	for _, conn := range s.conns {
-		if conn.agent == n && conn.agentE != n.epoch && !conn.closed && conn.router.epoch == conn.routerE {
-			s.after(hop, func() {
+		if conn.agent == n && conn.agentEpoch != n.epoch && !conn.closed && conn.router.epoch == conn.routerEpoch {
+			s.scheduleAfter(hop, func() {
 				s.whenAwake(conn.router, func() {
-					if !conn.closed && conn.router.epoch == conn.routerE && !s.apart(conn.agent, conn.router) {
+					if !conn.closed && conn.router.epoch == conn.routerEpoch && !s.partitioned(conn.agent, conn.router) {
 						s.breakConn(conn, router.AnswerBroken{})
 					}
 				})
@@ -212,24 +212,24 @@
 	}
 }
 
-// partition cuts the network for a time.
+// partition drops all messages between nodes for which cut holds, for a time.
 func (s *sim) partition(cut func(a, b *simNode) bool, span time.Duration) {
-	s.cut = cut
-	s.after(span, func() { s.cut = func(a, b *simNode) bool { return false } })
+	s.isCut = cut
+	s.scheduleAfter(span, func() { s.isCut = func(a, b *simNode) bool { return false } })
 }
 
-// apart tells whether the network is cut between two nodes.
-func (s *sim) apart(a, b *simNode) bool { return a != b && s.cut(a, b) }
+// partitioned reports whether the network is cut between two nodes.
+func (s *sim) partitioned(a, b *simNode) bool { return a != b && s.isCut(a, b) }
 
-// at plans something.
-func (s *sim) at(when time.Time, run func()) {
+// schedule adds an event to the queue.
+func (s *sim) schedule(when time.Time, run func()) {
 	s.order++
 	heap.Push(&s.events, event{at: when, order: s.order, run: run})
 }
 
-func (s *sim) after(wait time.Duration, run func()) { s.at(s.now.Add(wait), run) }
+func (s *sim) scheduleAfter(wait time.Duration, run func()) { s.schedule(s.now.Add(wait), run) }
 
-// run lets time pass.
+// run advances the clock by a span and runs the events that fall due.
 func (s *sim) run(span time.Duration) {
 	end := s.now.Add(span)
 	for len(s.events) > 0 && !s.events[0].at.After(end) {
@@ -240,9 +240,9 @@
 	s.now = end
 }
 
-// settle runs until every call has its final result.
+// settle runs until every call has its final result, or for the horizon.
 func (s *sim) settle() {
-	s.run(10 * time.Second) // longer than the longest delay on the way in
+	s.run(10 * time.Second) // longer than the longest delay of a caller's request
 	for end := s.now.Add(horizon); s.now.Before(end) && s.pending() > 0; {
 		s.run(100 * time.Millisecond)
 	}
@@ -252,19 +252,19 @@
 func (s *sim) pending() int {
 	count := 0
 	for _, call := range s.calls {
-		if len(call.finishes) == 0 && call.arrived && call.epoch == call.router.epoch {
+		if len(call.results) == 0 && call.arrived && call.epoch == call.router.epoch {
 			count++
 		}
 	}
 	return count
 }
 
-// whenAwake runs something at a node, after its pause if it is paused. It does
-// nothing when the node has restarted meanwhile.
+// whenAwake calls run immediately, or at the end of the node's pause unless the
+// node was restarted meanwhile.
 func (s *sim) whenAwake(n *simNode, run func()) {
-	if s.now.Before(n.paused) {
+	if s.now.Before(n.pausedUntil) {
 		epoch := n.epoch
-		s.at(n.paused, func() {
+		s.schedule(n.pausedUntil, func() {
 			if n.epoch == epoch {
 				s.whenAwake(n, run)
 			}
@@ -274,23 +274,23 @@
 	run()
 }
 
-// send puts a message on its way.
+// send schedules the delivery of a message, unless a fault or partition drops it.
 func (s *sim) send(m message) {
 	m.delay = hop
 	s.fault(&m)
-	if m.dropped || s.apart(m.from, m.to) {
+	if m.dropped || s.partitioned(m.from, m.to) {
 		if m.conn != nil {
-			m.conn.silent = true // TCP carries nothing past a gap
+			m.conn.silent = true // TCP delivers nothing after a lost segment
 		}
 		return
 	}
 	times := 1
-	if m.doubled {
+	if m.duplicated {
 		times = 2
 	}
 	for range times {
-		s.after(m.delay, func() {
-			if s.apart(m.from, m.to) {
+		s.scheduleAfter(m.delay, func() {
+			if s.partitioned(m.from, m.to) {
 				if m.conn != nil {
 					m.conn.silent = true
 				}
@@ -301,8 +301,9 @@
 	}
 }
 
-// rpc is a control call. serve runs at the other node and replies with what
-// then runs at the caller; failed runs there when no reply came in time.
+// rpc makes a control call. serve runs at the called node and passes reply a
+// function that then runs at the calling node. failed runs there instead if no
+// reply arrives within rpcTimeout.
 func (s *sim) rpc(step fleet.Step, from, to *simNode, serve func(reply func(func())), failed func()) {
 	done, epoch := false, from.epoch
 	finish := func(run func()) {
@@ -316,10 +317,10 @@
 			s.send(message{step: step, from: to, to: from, deliver: func(*message) { finish(then) }})
 		})
 	}})
-	s.after(rpcTimeout, func() { s.whenAwake(from, func() { finish(failed) }) })
+	s.scheduleAfter(rpcTimeout, func() { s.whenAwake(from, func() { finish(failed) }) })
 }
 
-// newID makes a UUIDv7 of the simulated time.
+// newID returns a UUIDv7 of the simulated time.
 func (s *sim) newID() fleet.RequestID {
 	s.ids++
 	var id fleet.RequestID
@@ -330,8 +331,9 @@
 	return id
 }
 
-// ask brings a caller's request to a router.
-func (s *sim) ask(n *simNode, account fleet.Account, change func(*router.Request)) *simCall {
+// submit sends a caller's request to a router. change, which may be nil, modifies
+// the request first.
+func (s *sim) submit(n *simNode, account fleet.Account, change func(*router.Request)) *simCall {
 	id := s.newID()
 	request := &router.Request{
 		ID: id, Account: account, Service: simService, Arrived: s.now,
@@ -357,11 +359,13 @@
 	return call
 }
 
-// madeFor is the answer that the backend server makes for a request.
-func madeFor(id fleet.RequestID) string { return strings.Repeat("answer of "+id.String()+"\n", 5) }
+// expectedAnswer returns the answer that the backend server makes for a request.
+func expectedAnswer(id fleet.RequestID) string {
+	return strings.Repeat("answer of "+id.String()+"\n", 5)
+}
 
-// check holds a call against what must always be true.
-func (s *sim) check(call *simCall) error {
+// checkCall returns an error if a call breaks a guarantee of the path.
+func (s *sim) checkCall(call *simCall) error {
 	id := call.request.ID
 	if !call.request.Idempotent && s.runs[id] > 1 {
 		return fmt.Errorf("%s ran %d times", id, s.runs[id])
@@ -369,29 +373,29 @@
 	if !call.arrived && s.runs[id] == 0 {
 		return nil // lost on the way from the caller
 	}
-	if call.epoch != call.router.epoch && len(call.finishes) == 0 {
-		return nil // its router is gone, the caller's connection with it
+	if call.epoch != call.router.epoch && len(call.results) == 0 {
+		return nil // its router was restarted, which closed the caller's connection
 	}
-	if len(call.finishes) != 1 {
-		return fmt.Errorf("%s got %d final results: %+v", id, len(call.finishes), call.finishes)
+	if len(call.results) != 1 {
+		return fmt.Errorf("%s got %d final results: %+v", id, len(call.results), call.results)
 	}
-	result := call.finishes[0]
+	result := call.results[0]
 	switch {
 	case result.Outcome == fleet.OutcomeNotRun && s.runs[id] > 0:
-		return fmt.Errorf("%s ran and was called not run: %+v", id, result)
+		return fmt.Errorf("%s ran and was reported as not run: %+v", id, result)
 	case result.Outcome == fleet.OutcomeNotRun && result.RetryAfter <= 0 && result.Status != 422:
-		return fmt.Errorf("%s was refused without a time to come back", id)
-	case result.Outcome == fleet.OutcomeCompleted && call.body != madeFor(call.request.Answer.ID()):
+		return fmt.Errorf("%s was refused without a time to retry after", id)
+	case result.Outcome == fleet.OutcomeCompleted && call.body != expectedAnswer(call.request.Answer.ID()):
 		return fmt.Errorf("%s got %q", id, call.body)
 	}
 	return nil
 }
 
-// checkAll fails the test when a call breaks a rule.
+// checkAll fails the test if a call breaks a guarantee.
 func (s *sim) checkAll() {
 	s.t.Helper()
 	for _, call := range s.calls {
-		if err := s.check(call); err != nil {
+		if err := s.checkCall(call); err != nil {
 			s.t.Error(err)
 		}
 	}
