--- a/internal/e2e/caller_test.go
+++ b/internal/e2e/caller_test.go
@@ -12,43 +12,43 @@
 	"github.com/bluebellchute/bluebellchute/internal/fleet"
 )
 
-// call is one call of the model service.
+// call describes a call of the model service.
 type call struct {
 	tokens     int
 	prompt     string
 	stream     bool
 	idempotent bool
-	crash      bool   // it crashes the backend server that runs it
-	key        string // Idempotency-Key, or none
-	deadline   string // seconds, or none
+	crash      bool   // whether it crashes the backend server that runs it
+	key        string // Idempotency-Key, or empty
+	deadline   string // in seconds, or empty
 }
 
-// answer is what a caller got.
+// answer is what a caller received.
 type answer struct {
 	status  int
 	outcome fleet.Outcome
-	request string // header Bluebell-Request
-	id      string // the id under which the engine ran it
+	request string // the header Bluebell-Request
+	id      string // the request's id at the engine
 	text    string
-	done    bool  // a stream's last event came
+	ended   bool  // whether a stream's last event arrived
 	err     error // of the connection
 }
 
-// whole returns an error unless the answer is that of the whole call.
-func (a answer) whole(c call) error {
+// checkComplete returns an error unless the answer is the complete one to the call.
+func (a answer) checkComplete(c call) error {
 	if a.err != nil {
 		return a.err
 	}
 	if a.status != http.StatusOK {
 		return fmt.Errorf("status %d, outcome %s", a.status, a.outcome)
 	}
-	if c.stream && !a.done {
+	if c.stream && !a.ended {
 		return fmt.Errorf("the stream has no end")
 	}
 	return engine.CheckText(a.id, a.text, c.tokens)
 }
 
-// startCall makes a call in the background.
+// startCall makes a call in the background. The channel receives its answer.
 func startCall(router node, c call) <-chan answer {
 	done := make(chan answer, 1)
 	go func() { done <- makeCall(router, c) }()
@@ -85,12 +85,13 @@
 	if c.stream {
 		a.readStream(response.Body)
 	} else {
-		a.readWhole(response.Body)
+		a.readCompletion(response.Body)
 	}
 	return a
 }
 
-// completion is the part of an answer or of a chunk that the tests read.
+// completion has the fields of an answer or of a stream's chunk that the tests
+// read.
 type completion struct {
 	ID      string `json:"id"`
 	Choices []struct {
@@ -99,7 +100,7 @@
 	}
 }
 
-func (a *answer) readWhole(body io.Reader) {
+func (a *answer) readCompletion(body io.Reader) {
 	var c completion
 	data, err := io.ReadAll(body)
 	if err != nil {
@@ -127,7 +128,7 @@
 			continue
 		}
 		if event == "[DONE]" {
-			a.done = true
+			a.ended = true
 			continue
 		}
 		var c completion
--- a/internal/e2e/cluster_test.go
+++ b/internal/e2e/cluster_test.go
@@ -24,8 +24,8 @@
 	apiKey  = "key"
 	account = "org/team/account"
 	token   = "e2e"
-	// step is the time of a token at the engines.
-	step = "2ms"
+	// tokenInterval is the time per token at the engines.
+	tokenInterval = "2ms"
 )
 
 // node is a process of the system with its addresses.
@@ -40,38 +40,38 @@
 	address fleet.Address
 }
 
-// cluster is a fleet of processes. Agent i owns backend i.
+// cluster is a fleet of processes. Agent i serves backend i.
 type cluster struct {
-	platform *platform.Client
-	at       fleet.Address // of the platform
-	backends []backend
-	agents   []node
-	routers  []node
+	platform        *platform.Client
+	platformAddress fleet.Address
+	backends        []backend
+	agents          []node
+	routers         []node
 }
 
-// shape says what a cluster consists of.
-type shape struct {
+// clusterConfig describes a cluster.
+type clusterConfig struct {
 	routers, agents int
-	slots           int    // 0 takes what the engines report
-	lease           string // of grants; empty for the default
-	// between returns the address that an agent uses in place of its
-	// backend's, such as that of a relay; nil uses the backend's.
-	between func(fleet.Address) fleet.Address
+	slots           int    // 0 for what the engines report
+	lease           string // lifetime of grants; empty for the default
+	// interpose returns the address that an agent uses instead of its
+	// backend's, such as that of a relay; nil stands for the backend's.
+	interpose func(fleet.Address) fleet.Address
 }
 
 // startCluster starts a fleet and waits until each node is ready and each
 // router knows all agents.
-func startCluster(t *testing.T, s shape) *cluster {
+func startCluster(t *testing.T, config clusterConfig) *cluster {
 	t.Helper()
-	c := &cluster{at: addressOf(newHost(), dataPort)}
-	start(t, "standin-platform", "--listen", string(c.at), "--nodes-make-vms", "--vm-lag", "0s")
-	c.platform = platform.NewClient(c.at, platform.ClientOptions{})
+	c := &cluster{platformAddress: addressOf(newHost(), dataPort)}
+	start(t, "standin-platform", "--listen", string(c.platformAddress), "--nodes-make-vms", "--vm-lag", "0s")
+	c.platform = platform.NewClient(c.platformAddress, platform.ClientOptions{})
 	t.Cleanup(c.platform.Close)
-	c.putSettings(t, s)
-	for range s.agents {
-		c.addAgent(t, s.between)
+	c.putSettings(t, config)
+	for range config.agents {
+		c.addAgent(t, config.interpose)
 	}
-	for range s.routers {
+	for range config.routers {
 		c.addRouter(t)
 	}
 	for _, n := range append(c.agents, c.routers...) {
@@ -83,14 +83,14 @@
 	return c
 }
 
-func (c *cluster) putSettings(t *testing.T, s shape) {
+func (c *cluster) putSettings(t *testing.T, config clusterConfig) {
 	t.Helper()
 	text := fmt.Appendf(nil, "[%s]\napi_key_sha256 = %x\n[services/%s]\nslots = %d\n",
-		account, sha256.Sum256([]byte(apiKey)), service, s.slots)
-	if s.lease != "" {
-		text = fmt.Appendf(text, "grant_lease = %s\n", s.lease)
+		account, sha256.Sum256([]byte(apiKey)), service, config.slots)
+	if config.lease != "" {
+		text = fmt.Appendf(text, "grant_lease = %s\n", config.lease)
 	}
-	eventually(t, "the platform takes the settings", func() bool {
+	eventually(t, "the platform accepts the settings", func() bool {
 		result := settings.Bootstrap(context.Background(), c.platform, text, "e2e")
 		return result.Outcome == settings.OutcomeAccepted
 	})
@@ -99,7 +99,7 @@
 func (c *cluster) addAgent(t *testing.T, between func(fleet.Address) fleet.Address) {
 	t.Helper()
 	b := backend{address: addressOf(newHost(), dataPort)}
-	b.process = start(t, "standin-engine", "--listen", string(b.address), "--name", service, "--step", step, "--permit-crash")
+	b.process = start(t, "standin-engine", "--listen", string(b.address), "--name", service, "--step", tokenInterval, "--permit-crash")
 	address := b.address
 	if between != nil {
 		address = between(address)
@@ -129,7 +129,7 @@
 address = %s
 [control]
 token = %s
-%s`, host, n.control, n.data, c.at, token, section)
+%s`, host, n.control, n.data, c.platformAddress, token, section)
 	path := filepath.Join(t.TempDir(), program+".ini")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -138,7 +138,7 @@
 	return n
 }
 
-// awaitReady waits until the node is ready for work.
+// awaitReady waits until the node reports that it is ready.
 func (n node) awaitReady(t *testing.T) {
 	t.Helper()
 	eventually(t, fmt.Sprintf("%s at %s is ready", n.name, n.control), func() bool {
@@ -161,7 +161,8 @@
 }
 
 // awaitAgents sends short calls until each backend has run one of this router.
-// Each has a prompt of its own, as an equal beginning draws calls to one agent.
+// Each call has a different prompt, since calls whose prompts share a prefix go
+// to one agent.
 func (c *cluster) awaitAgents(t *testing.T, router node) {
 	t.Helper()
 	reached := make(map[fleet.Address]bool)
@@ -197,9 +198,9 @@
 	return runs
 }
 
-// running returns the index of a backend that is in the middle of a run that
-// has made tokens, or -1.
-func (c *cluster) running(t *testing.T) int {
+// findRunning returns the index of a backend with a run in progress that has
+// produced tokens, or -1.
+func (c *cluster) findRunning(t *testing.T) int {
 	t.Helper()
 	for i, b := range c.backends {
 		for _, runs := range b.runs(t) {
@@ -212,11 +213,11 @@
 	return -1
 }
 
-// awaitInProgress waits until the router holds that many calls, waiting or
-// sent to agents.
+// awaitInProgress waits until the router has at least that many calls waiting or
+// dispatched to agents.
 func (c *cluster) awaitInProgress(t *testing.T, calls float64) {
 	t.Helper()
-	eventually(t, "the router has taken all calls", func() bool {
+	eventually(t, "the router has accepted all calls", func() bool {
 		return c.routers[0].metric(t, "bluebell_router_waiting_requests")+
 			c.routers[0].metric(t, "bluebell_router_in_flight_requests") >= calls
 	})
--- a/internal/e2e/drain_test.go
+++ b/internal/e2e/drain_test.go
@@ -5,23 +5,23 @@
 	"testing"
 )
 
-// callsAtOnce is more than the slots of the cluster, so that calls wait too.
-const callsAtOnce = 12
+// concurrentCalls exceeds the slots of the cluster, so that some calls wait.
+const concurrentCalls = 12
 
-// Symptom: callers see broken answers whenever a process is replaced.
-// Sequence: calls run and wait; an agent or a router gets SIGTERM.
-// Cause: a process that ends with work in progress cuts it.
+// Each call that runs or waits when an agent or a router receives SIGTERM must
+// get its complete answer. A process that exits without draining would abort the
+// calls in progress.
 func TestDrainUnderLoad(t *testing.T) {
 	t.Parallel()
 	for _, victim := range []string{"agent", "router"} {
 		t.Run(victim, func(t *testing.T) {
-			c := startCluster(t, shape{routers: 1, agents: 2, slots: 2})
+			c := startCluster(t, clusterConfig{routers: 1, agents: 2, slots: 2})
 			made := call{tokens: shortAnswer}
 			var pending []<-chan answer
-			for range callsAtOnce {
+			for range concurrentCalls {
 				pending = append(pending, startCall(c.routers[0], made))
 			}
-			c.awaitInProgress(t, callsAtOnce)
+			c.awaitInProgress(t, concurrentCalls)
 			drained := c.routers[0]
 			if victim == "agent" {
 				drained = c.agents[c.awaitRun(t)]
@@ -29,7 +29,7 @@
 			drained.signal(syscall.SIGTERM)
 			for _, done := range pending {
 				got := <-done
-				if err := got.whole(made); err != nil {
+				if err := got.checkComplete(made); err != nil {
 					t.Errorf("%s: %v", got.request, err)
 				}
 			}
--- a/internal/e2e/key_test.go
+++ b/internal/e2e/key_test.go
@@ -15,14 +15,12 @@
 	"github.com/bluebellchute/bluebellchute/internal/rpc"
 )
 
-// Symptom: a caller whose router died sends its call again and the work is
-// done twice.
-// Sequence: a call with a key runs; its router dies; the caller sends the same
-// call and key to another router.
-// Cause: the second router knows nothing of the first; the key's guards do.
-func TestRouterKilledMidAnswer(t *testing.T) {
+// A call with a key must run once when its router dies during the run and the
+// caller sends the same call and key to another router. The second router learns
+// of the run from the key's guards only.
+func TestRouterKilledDuringAnswer(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{routers: 2, agents: 2})
+	c := startCluster(t, clusterConfig{routers: 2, agents: 2})
 	c.awaitGuards(t)
 	keyed := call{tokens: longAnswer, key: newKey()}
 	first := startCall(c.routers[0], keyed)
@@ -35,23 +33,22 @@
 		t.Errorf("the caller of a killed router sees no error, but status %d", got.status)
 	}
 	second := makeCall(c.routers[1], keyed)
-	if err := second.whole(keyed); err != nil {
+	if err := second.checkComplete(keyed); err != nil {
 		t.Errorf("the call with the same key: %v", err)
 	}
-	c.wantOneLongRun(t)
+	c.checkOneLongRun(t)
 }
 
-// Symptom: a caller whose router died sends its call again and is refused until
-// its deadline, over and over, although nobody runs the call.
-// Sequence: a call with a key waits for a slot; its router dies; the caller
-// sends the same call and key to another router.
-// Cause: the guards hold the key for a request that is nowhere any more, and
-// only its router would have said where it runs or given the key back.
+// A call with a key must be answered when its router dies while the call waits for
+// a slot and the caller sends the same call and key to another router. The guards
+// hold the key for a request that no longer exists, since only the first router
+// could have reported where it runs or released the key; the second call would be
+// refused until its deadline.
 func TestRouterKilledWhileKeyedCallWaits(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{routers: 2, agents: 1, slots: 1})
+	c := startCluster(t, clusterConfig{routers: 2, agents: 1, slots: 1})
 	c.awaitGuards(t)
-	// More calls than the agent takes ahead of its free slots.
+	// More calls than the agent accepts in advance of free slots.
 	var busy []<-chan answer
 	for range 8 {
 		busy = append(busy, startCall(c.routers[1], call{tokens: longAnswer / 2}))
@@ -70,7 +67,7 @@
 		t.Errorf("the caller of a killed router sees no error, but status %d", got.status)
 	}
 	second := makeCall(c.routers[1], keyed)
-	if err := second.whole(keyed); err != nil {
+	if err := second.checkComplete(keyed); err != nil {
 		t.Errorf("the call with the same key: %v", err)
 	}
 	for _, done := range busy {
@@ -80,55 +77,54 @@
 	}
 }
 
-// Symptom: as above, after one of the key's guards was replaced.
-// Sequence: a key is made; a new agent becomes its first guard; a call with the
-// key runs; its router dies; the caller sends the same call and key again.
-// Cause: the new guard can't tell whether the key is new. It notes the call
-// all the same, so it has to be told where the call runs as well.
-func TestRouterKilledWhileOneGuardIsYoung(t *testing.T) {
+// A call with a key must run once, as in TestRouterKilledDuringAnswer, if an agent
+// that started after the key was made is the key's first guard. That guard can't
+// tell whether the key is new, but records the call, so that it has to learn where
+// the call runs as well.
+func TestRouterKilledWhileOneGuardIsNew(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{routers: 2, agents: 1})
+	c := startCluster(t, clusterConfig{routers: 2, agents: 1})
 	c.awaitGuards(t)
-	old := c.agents[0]
+	oldGuard := c.agents[0]
 	var keys []string
 	for range 64 {
 		keys = append(keys, newKey())
 	}
 	c.addAgent(t, nil)
-	young := c.agents[1]
-	young.awaitReady(t)
+	newGuard := c.agents[1]
+	newGuard.awaitReady(t)
 	c.awaitAgents(t, c.routers[0])
 	c.awaitAgents(t, c.routers[1])
-	nodes := []fleet.Node{{Control: old.control}, {Control: young.control}}
+	nodes := []fleet.Node{{Control: oldGuard.control}, {Control: newGuard.control}}
 	key, found := lo.Find(keys, func(key string) bool {
-		return membership.Guards(account, key, nodes)[0].Control == young.control
+		return membership.Guards(account, key, nodes)[0].Control == newGuard.control
 	})
 	if !found {
-		t.Fatal("no key has the young agent as its first guard")
+		t.Fatal("no key has the new agent as its first guard")
 	}
 	keyed := call{tokens: longAnswer, key: key, deadline: "15"}
 	first := startCall(c.routers[0], keyed)
 	c.awaitRun(t)
-	c.awaitRunKnown(t, old, keyed)
+	c.awaitRunKnown(t, oldGuard, keyed)
 	c.routers[0].kill()
 	if got := <-first; got.err == nil {
 		t.Errorf("the caller of a killed router sees no error, but status %d", got.status)
 	}
 	second := makeCall(c.routers[1], keyed)
-	if err := second.whole(keyed); err != nil {
+	if err := second.checkComplete(keyed); err != nil {
 		t.Errorf("the call with the same key: %v", err)
 	}
-	c.wantOneLongRun(t)
+	c.checkOneLongRun(t)
 }
 
 func newKey() string { return uuid.Must(uuid.NewV7()).String() }
 
-// awaitGuards waits until each agent can tell about new keys. It can't about
-// keys that were made when it had just started.
+// awaitGuards waits until each agent can tell whether a key is new. It can't for
+// keys that were made right after its start or before.
 func (c *cluster) awaitGuards(t *testing.T) {
 	t.Helper()
 	for _, agent := range c.agents {
-		eventually(t, "the guard can tell about new keys", func() bool {
+		eventually(t, "the guard can tell that a key is new", func() bool {
 			reply, err := claim(t, agent, newKey())
 			return err == nil && reply.Result == rpc.ClaimResult_CLAIM_RESULT_GRANTED
 		})
@@ -144,7 +140,7 @@
 	})
 }
 
-// claim claims a key at a guard for a request that nobody will send.
+// claim claims a key at a guard for a request that is never sent.
 func claim(t *testing.T, guard node, key string) (*rpc.ClaimReply, error) {
 	t.Helper()
 	pool := control.NewPool(token, control.NewMetrics(prometheus.NewRegistry()))
@@ -155,9 +151,9 @@
 	})
 }
 
-// wantOneLongRun checks that all backends together ran one call, apart from
-// the short ones of the start.
-func (c *cluster) wantOneLongRun(t *testing.T) {
+// checkOneLongRun checks that all backends together ran one call, apart from the
+// short ones made while the cluster started.
+func (c *cluster) checkOneLongRun(t *testing.T) {
 	t.Helper()
 	longRuns := 0
 	for _, b := range c.backends {
--- a/internal/e2e/kill_test.go
+++ b/internal/e2e/kill_test.go
@@ -7,24 +7,23 @@
 	"github.com/bluebellchute/bluebellchute/internal/fleet"
 )
 
-// longAnswer and shortAnswer are numbers of tokens: about a second and a
-// tenth of one at the engines' step.
+// longAnswer and shortAnswer are numbers of tokens that take the engines about a
+// second and a tenth of a second.
 const (
 	longAnswer  = 500
 	shortAnswer = 50
 )
 
-// Symptom: a caller gets no answer, half an answer as if it were whole, or a
-// second run of a call that must not be repeated.
-// Sequence: an answer is being made; the agent or the engine dies.
-// Cause: with the agent the record of the run is lost, with the engine the run
-// itself; only a call that may be repeated can be run elsewhere.
-func TestKilledMidAnswer(t *testing.T) {
+// When the agent or the engine is killed during an answer, the caller must not get
+// a truncated answer as a complete one, and a call that is not idempotent must not
+// run again. The agent's death loses the record of the run, the engine's the run
+// itself; only an idempotent call can be run elsewhere.
+func TestProcessKilledDuringAnswer(t *testing.T) {
 	t.Parallel()
 	for _, test := range []struct {
 		name string
 		call call
-		// completes tells whether the call is answered in spite of the kill.
+		// completes is whether the call is answered in spite of the kill.
 		completes bool
 	}{
 		{"idempotent", call{tokens: longAnswer, idempotent: true}, true},
@@ -34,17 +33,17 @@
 		t.Run(test.name, func(t *testing.T) {
 			for _, victim := range []string{"agent", "engine"} {
 				t.Run(victim, func(t *testing.T) {
-					c := startCluster(t, shape{routers: 1, agents: 2})
+					c := startCluster(t, clusterConfig{routers: 1, agents: 2})
 					done := startCall(c.routers[0], test.call)
-					at := c.awaitRun(t)
+					index := c.awaitRun(t)
 					if victim == "agent" {
-						c.agents[at].kill()
+						c.agents[index].kill()
 					} else {
-						c.backends[at].kill()
+						c.backends[index].kill()
 					}
-					checkBroken(t, test.call, <-done, test.completes)
+					checkInterrupted(t, test.call, <-done, test.completes)
 					if !test.call.idempotent {
-						c.wantNoRun(t, 1-at)
+						c.checkNoLongRun(t, 1-index)
 					}
 				})
 			}
@@ -52,18 +51,18 @@
 	}
 }
 
-// checkBroken checks an answer whose first run was broken.
-func checkBroken(t *testing.T, c call, got answer, completes bool) {
+// checkInterrupted checks the answer to a call whose first run was interrupted.
+func checkInterrupted(t *testing.T, c call, got answer, completes bool) {
 	t.Helper()
-	err := got.whole(c)
+	err := got.checkComplete(c)
 	switch {
 	case completes && err != nil:
-		t.Errorf("no whole answer: %v", err)
+		t.Errorf("the answer is not complete: %v", err)
 	case completes:
 	case err == nil:
-		t.Error("a whole answer, though the run was broken")
-	case c.stream && (got.done || got.err == nil):
-		t.Errorf("a broken stream with a clean end: %v", err)
+		t.Error("the answer is complete although the run was interrupted")
+	case c.stream && (got.ended || got.err == nil):
+		t.Errorf("an interrupted stream with a clean end: %v", err)
 	case !c.stream && got.outcome != fleet.OutcomeUnknown:
 		t.Errorf("status %d with outcome %q (%v), want unknown", got.status, got.outcome, got.err)
 	case !c.stream && got.status != http.StatusBadGateway && got.status != http.StatusGatewayTimeout:
@@ -71,23 +70,22 @@
 	}
 }
 
-// awaitRun waits until a backend is in the middle of an answer and returns its
-// index.
+// awaitRun waits until a backend is producing an answer and returns its index.
 func (c *cluster) awaitRun(t *testing.T) int {
 	t.Helper()
-	at := -1
-	eventually(t, "an answer is being made", func() bool {
-		at = c.running(t)
-		return at >= 0
+	index := -1
+	eventually(t, "a backend is producing an answer", func() bool {
+		index = c.findRunning(t)
+		return index >= 0
 	})
-	return at
+	return index
 }
 
-// wantNoRun checks that the backend has run nothing but the short calls of
-// the start.
-func (c *cluster) wantNoRun(t *testing.T, at int) {
+// checkNoLongRun checks that the backend has run nothing but the short calls made
+// while the cluster started.
+func (c *cluster) checkNoLongRun(t *testing.T, index int) {
 	t.Helper()
-	for id, runs := range c.backends[at].runs(t) {
+	for id, runs := range c.backends[index].runs(t) {
 		for _, run := range runs {
 			if run.Tokens > 1 {
 				t.Errorf("%s was run again", id)
--- a/internal/e2e/main_test.go
+++ b/internal/e2e/main_test.go
@@ -1,7 +1,6 @@
-// Package e2e tests faults with real processes: it builds the binaries, starts
-// them on loopback and kills, stops or cuts them off. The decisions themselves
-// are tested in the packages that make them; here it is shown that the
-// processes as a whole keep their promises.
+// Package e2e tests faults with real processes: it builds the binaries, runs them
+// on loopback, and kills, suspends or disconnects them. The decisions are tested
+// in the packages that make them; these tests check the processes as a whole.
 package e2e
 
 import (
@@ -11,7 +10,7 @@
 	"testing"
 )
 
-// binaries is the directory of the programs that TestMain builds.
+// binaries is the directory with the programs that TestMain builds.
 var binaries string
 
 func TestMain(m *testing.M) {
--- a/internal/e2e/pause_test.go
+++ b/internal/e2e/pause_test.go
@@ -11,38 +11,37 @@
 	"github.com/bluebellchute/bluebellchute/internal/fleet"
 )
 
-// Symptom: a call runs twice, or is said not to have run although it did.
-// Sequence: an agent with one slot grants it and is stopped; its leases lapse
-// and its calls are given up or go elsewhere; the agent wakes and goes on
-// where it stood.
-// Cause: a paused process doesn't know that time has passed. Its grants must
-// be refused by number, and what was fenced or given up must not run.
-func TestAgentPausedPastItsGrant(t *testing.T) {
+// No call may run twice, or be reported as not run although it ran, when an agent
+// is suspended until its leases have expired and its calls have been abandoned or
+// dispatched elsewhere. The agent resumes without knowing that time has passed:
+// its grants have to be refused by number, and calls that were fenced or
+// abandoned must not run.
+func TestAgentPausedBeyondLease(t *testing.T) {
 	t.Parallel()
-	c := startCluster(t, shape{routers: 1, agents: 2, slots: 1, lease: "100ms"})
+	c := startCluster(t, clusterConfig{routers: 1, agents: 2, slots: 1, lease: "100ms"})
 	const calls = 12
 	pending := make([]<-chan answer, 0, calls)
 	for range calls {
 		pending = append(pending, startCall(c.routers[0], call{tokens: shortAnswer}))
 	}
-	at := c.awaitRun(t)
-	c.agents[at].signal(syscall.SIGSTOP)
-	// A second fence comes after a first one that got no reply, and that one
-	// after the silence timeout, which is longer than the lease.
+	index := c.awaitRun(t)
+	c.agents[index].signal(syscall.SIGSTOP)
+	// The router sends a first fence after the silence timeout, which is longer
+	// than the lease, and a second one when the first got no reply.
 	eventually(t, "a call is fenced twice, or all are answered", func() bool {
 		answered := lo.EveryBy(pending, func(done <-chan answer) bool { return len(done) > 0 })
 		return answered || fencedTwice(c.routers[0].output.String())
 	})
-	c.agents[at].signal(syscall.SIGCONT)
+	c.agents[index].signal(syscall.SIGCONT)
 	answers := lo.Map(pending, func(done <-chan answer, _ int) answer { return <-done })
 	c.awaitAgents(t, c.routers[0])
 	c.checkRuns(t, answers, call{tokens: shortAnswer})
 }
 
-// fenceRecord finds the request in the router's record of a fence.
+// fenceRecord matches a log record of a fence and captures its request.
 var fenceRecord = regexp.MustCompile(`"event":2003,.*"request":"([^"]+)"`)
 
-// fencedTwice tells whether a log has two fences of one request.
+// fencedTwice reports whether a log has two fences of one request.
 func fencedTwice(log string) bool {
 	fences := make(map[string]int)
 	for _, match := range fenceRecord.FindAllStringSubmatch(log, -1) {
@@ -54,7 +53,7 @@
 	return false
 }
 
-// checkRuns compares what callers were told with what the backends did.
+// checkRuns compares the answers of callers with the runs at the backends.
 func (c *cluster) checkRuns(t *testing.T, answers []answer, made call) {
 	t.Helper()
 	runs := make(map[string][]engine.Run)
@@ -69,9 +68,9 @@
 		case n > 1:
 			t.Errorf("%s ran %d times: %+v", got.request, n, runs[got.request])
 		case got.outcome == fleet.OutcomeNotRun && n != 0:
-			t.Errorf("%s ran, its caller was told that it did not", got.request)
+			t.Errorf("%s ran, but was reported to its caller as not run", got.request)
 		case got.outcome == fleet.OutcomeCompleted:
-			if err := got.whole(made); err != nil {
+			if err := got.checkComplete(made); err != nil {
 				t.Errorf("%s: %v", got.request, err)
 			}
 		case got.outcome == "":
--- a/internal/e2e/process_test.go
+++ b/internal/e2e/process_test.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	// patience ends a test whose event never comes. It decides nothing else.
-	patience = 60 * time.Second
-	// pollInterval is the time between two looks for an event.
+	// waitTimeout bounds each wait for an event. No other result depends on it.
+	waitTimeout = 60 * time.Second
+	// pollInterval is the time between two checks for an event.
 	pollInterval = 5 * time.Millisecond
 )
 
-// eventually waits until the condition holds.
+// eventually waits until the condition holds, or fails the test.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
 			t.Fatalf("never happened: %s", what)
@@ -34,18 +34,18 @@
 	}
 }
 
-// hosts counts the loopback IP numbers that were given out.
-var hosts atomic.Uint32
+// hostCounter counts the loopback IP addresses that newHost has returned.
+var hostCounter atomic.Uint32
 
-// newHost returns a loopback IP number of its own, so that no port can be
-// taken by another process of the machine. It depends on the process id, as
-// several test processes may run at once.
+// newHost returns a loopback IP address that no other process uses, so that none
+// of its ports is taken. It depends on the process id, as several test processes
+// may run at the same time.
 func newHost() string {
 	pid := os.Getpid()
-	return fmt.Sprintf("127.%d.%d.%d", 1+pid>>8&0x7f, pid&0xff, 1+hosts.Add(1)%250)
+	return fmt.Sprintf("127.%d.%d.%d", 1+pid>>8&0x7f, pid&0xff, 1+hostCounter.Add(1)%250)
 }
 
-// The ports of each process on the IP number of its own.
+// Each process has these ports on an IP address of its own.
 const (
 	controlPort = 7001
 	dataPort    = 7002
@@ -61,7 +61,7 @@
 	command *exec.Cmd
 	output  lockedBuffer
 	ended   chan struct{}
-	err     error // of the end; read after ended is closed
+	err     error // of Wait; valid after ended is closed
 }
 
 // start runs a built program until the test ends.
@@ -88,23 +88,24 @@
 	return p
 }
 
-// signal sends a signal to this process only; one that has ended gets none.
+// signal sends a signal to the process unless it has ended.
 func (p *process) signal(s os.Signal) {
 	_ = p.command.Process.Signal(s)
 }
 
-// kill ends the process as a crash of its VM would.
+// kill ends the process with SIGKILL and waits for its end.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.ended
 }
 
-// waitForExit waits for an end with status 0.
+// waitForExit waits until the process ends, and fails the test unless its exit
+// status is 0.
 func (p *process) waitForExit(t *testing.T) {
 	t.Helper()
 	select {
 	case <-p.ended:
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatalf("%s never ended", p.name)
 	}
 	if p.err != nil {
--- a/internal/e2e/silence_test.go
+++ b/internal/e2e/silence_test.go
@@ -10,13 +10,10 @@
 	"github.com/bluebellchute/bluebellchute/internal/testrelay"
 )
 
-// Symptom: an answer stops in the middle for good, or goes on with a gap or a
-// repeat.
-// Sequence: a stream is under way; the connection that carries it goes silent
-// without an end, while new connections work.
-// Cause: something between two processes has forgotten the connection. Only
-// the missing progress shows it; the stream has to be resumed at its offset on
-// a new connection.
+// A stream must continue without a gap or repetition when its connection falls
+// silent without being closed while new connections work, as when a middlebox
+// drops its state. Only the missing progress shows this; the stream has to be
+// resumed at its offset on a new connection.
 func TestSilentConnection(t *testing.T) {
 	t.Parallel()
 	for _, test := range []struct {
@@ -32,17 +29,17 @@
 			done := startCall(c.routers[0], streamed)
 			c.awaitRun(t)
 			r.Blackhole()
-			if err := (<-done).whole(streamed); err != nil {
+			if err := (<-done).checkComplete(streamed); err != nil {
 				t.Error(err)
 			}
 			if r.DroppedBytes() == 0 {
-				t.Error("the relay was not in the answer's way")
+				t.Error("the answer did not go through the relay")
 			}
 		})
 	}
 }
 
-// startRelay starts a relay on a loopback address of its own.
+// startRelay starts a relay to target on a new loopback address.
 func startRelay(t *testing.T, target fleet.Address) *testrelay.Relay {
 	t.Helper()
 	return testrelay.Start(t, testrelay.Config{Listen: addressOf(newHost(), dataPort), Target: target})
@@ -50,17 +47,17 @@
 
 func relayBeforeEngine(t *testing.T) (*cluster, *testrelay.Relay) {
 	var r *testrelay.Relay
-	c := startCluster(t, shape{routers: 1, agents: 1, between: func(engine fleet.Address) fleet.Address {
+	c := startCluster(t, clusterConfig{routers: 1, agents: 1, interpose: func(engine fleet.Address) fleet.Address {
 		r = startRelay(t, engine)
 		return r.Address()
 	}})
 	return c, r
 }
 
-// relayBeforeAgent puts the relay's address in place of the agent's data
-// address into the list of nodes.
+// relayBeforeAgent replaces the agent's data address by the relay's address in
+// the list of nodes.
 func relayBeforeAgent(t *testing.T) (*cluster, *testrelay.Relay) {
-	c := startCluster(t, shape{routers: 1, agents: 1})
+	c := startCluster(t, clusterConfig{routers: 1, agents: 1})
 	agent := c.agents[0]
 	r := startRelay(t, agent.data)
 	ctx := context.Background()
