--- a/internal/gate/config.go
+++ b/internal/gate/config.go
@@ -131,8 +131,11 @@
 	// heapShare is the fraction of the memory beyond which the Go runtime collects garbage
 	// more often.
 	heapShare = 0.75
-	// keyMaxAgeShare is the fraction of the bound for withdrawn keys after which requests
-	// with keys are refused. The users count no request beyond 0.6 of that bound.
+	// keyMaxAgeShare is the fraction of the bound for withdrawn keys up to which a router
+	// accepts keys without a new confirmation of its configuration. A key may be withdrawn
+	// right after a confirmation, and accepted requests take time to reach a backend
+	// server, so it is well below 1. It is above 0.6, since the users do not count requests
+	// that arrive when the configuration is older than 0.6 of the bound.
 	keyMaxAgeShare = 0.8
 	// denialMaxAgeShare is the fraction of the bound for configurations up to which an
 	// unknown route is denied permanently.
--- a/internal/gate/crash_detector.go
+++ b/internal/gate/crash_detector.go
@@ -15,35 +15,38 @@
 	// connection to it was reset before it counts as down.
 	silenceTimeout = 1500 * time.Millisecond
 	// reportedSilenceTimeout replaces silenceTimeout if routers report running requests at
-	// the server. A router sees only some of the answers, and other routers' reports of a
-	// crashed server are more than a second old only when those routers have stopped.
+	// the server: it may be answering other routers, whose answers this one does not see.
+	// Reports from before a crash end by then. They are more than a second old only if the
+	// routers that sent them have stopped.
 	reportedSilenceTimeout = 2500 * time.Millisecond
-	// reportWindow is the end of either timeout, in which reports count. Earlier ones may
-	// be older than the crash.
+	// reportWindow is the length of the final part of either timeout. Only reports in this
+	// part count; earlier ones may be from before the crash.
 	reportWindow = 500 * time.Millisecond
-	// minReportedRunning is how much of reportWindow requests must be reported as running
-	// for the server to count as alive. A request whose connection is just being refused
-	// shows in one report, which holds for one round of heartbeats, 100 ms.
+	// minReportedRunning is the time within reportWindow for which routers must report
+	// running requests at the server for it to count as alive. It is longer than one
+	// heartbeat interval (100 ms): a request also counts as running while its connection
+	// is being refused, and then appears in one heartbeat.
 	minReportedRunning = 150 * time.Millisecond
-	// maxJudgeGap is the maximum time between two calls of judge that counts as watched. A
-	// router that was suspended has seen no sign of life, whatever the server did.
+	// maxJudgeGap is the maximum time that one call of judge adds to the time for which a
+	// server has shown no sign of life. A longer gap between calls means that the router
+	// was suspended and would have missed any sign of life.
 	maxJudgeGap = 200 * time.Millisecond
-	// oldConnectionMargin is the time after a reset from which data on an older connection
-	// shows that the server is alive. It starts again after each suspension of the router.
-	// Data received before a crash may be read later.
+	// oldConnectionMargin is how long after a reset, or after a suspension of the router,
+	// data on a connection from before the reset does not show that the server is alive:
+	// the data may have arrived before a crash and been read only now.
 	oldConnectionMargin = 250 * time.Millisecond
 	// maxPendingResets bounds the resets without a verdict. A crash of a backend server
 	// adds all requests that it was running.
 	maxPendingResets = 4096
 )
 
-// resetVerdict is the cause of a reset connection. Its values are those of the metric's
-// label.
+// resetVerdict says whether a backend server crashed when a connection to it was reset. Its
+// values are those of the metric's label.
 type resetVerdict string
 
 const (
-	resetServerWentOn resetVerdict = "server_went_on"
-	resetServerDown   resetVerdict = "server_down"
+	resetServerWentOn resetVerdict = "server_went_on" // no crash: it was alive afterwards
+	resetServerDown   resetVerdict = "server_down"    // it crashed
 )
 
 // pendingReset is a connection that was reset while a request was running, and has no
@@ -132,7 +135,7 @@
 	}
 }
 
-// due reports whether judge is to be called.
+// due reports whether the last call of judge was at least half of judgeInterval ago.
 func (d *crashDetector) due(now boottime.Instant) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -146,7 +149,8 @@
 	return lo.Keys(d.byServer)
 }
 
-// serverReport is what is known of an incarnation apart from its answers.
+// serverReport is what the list of backend servers and the routers' reports say about an
+// incarnation.
 type serverReport int
 
 const (
@@ -155,8 +159,8 @@
 	reportUnlisted                     // it is no longer listed, or has restarted
 )
 
-// judge returns the resets that get their verdict now. Time counts as watched only while it
-// is called at least once per maxJudgeGap.
+// judge returns the resets that get their verdict now. It must be called at least once per
+// maxJudgeGap; time beyond that does not count towards the timeouts.
 func (d *crashDetector) judge(now boottime.Instant, report func(incarnation string) serverReport) []judgedResets {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -169,16 +173,18 @@
 			resets[i].advance(step, now, reported == reportRunning)
 		}
 		for _, verdict := range []resetVerdict{resetServerDown, resetServerWentOn} {
-			reset := d.resolve(incarnation, verdict, func(r *pendingReset) bool { return r.verdict(reported) == verdict })
-			if len(reset.fingerprints) > 0 {
-				judged = append(judged, reset)
+			resolved := d.resolve(incarnation, verdict, func(r *pendingReset) bool { return r.verdict(reported) == verdict })
+			if len(resolved.fingerprints) > 0 {
+				judged = append(judged, resolved)
 			}
 		}
 	}
 	return judged
 }
 
-// advance adds the time since the last call of judge, or since the reset if that was later.
+// advance adds the time since the last call of judge, or since the reset if that was later,
+// to the reset's durations. step is the time since the last call, and running says whether
+// routers report running requests at the server.
 func (r *pendingReset) advance(step time.Duration, now boottime.Instant, running bool) {
 	step = max(min(step, now.Sub(r.noticedAt)), 0)
 	suspended := step > maxJudgeGap
--- a/internal/gate/crash_verdicts.go
+++ b/internal/gate/crash_verdicts.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// serverReports returns what is known of the incarnations with pending resets. A crash
+// serverReports returns the reports on the incarnations with pending resets. A crash
 // resets all connections there, and no new requests can be sent to it.
 func (h *handler) serverReports() map[string]serverReport {
 	reports := make(map[string]serverReport)
@@ -60,7 +60,7 @@
 	return reports
 }
 
-// serverReport returns what is known of a listed backend server.
+// serverReport returns the report on a listed backend server.
 func (h *handler) serverReport(backend *knowledge.Backend) serverReport {
 	own, _ := h.admission.loads.get(backend.Incarnation)
 	if own.Running+h.admission.peers.Load(backend.IncarnationHash).Running > 0 {
--- a/internal/gate/relay.go
+++ b/internal/gate/relay.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// maxConnectFailures is the maximum number of backend servers tried for one request
-	// whose connections could not be opened.
+	// maxConnectFailures is the maximum number of attempts to send a request that fail
+	// before anything has been sent.
 	maxConnectFailures = 3
 	// minTimeLeft is the remaining time below which a request is not sent any more: its
 	// answer could not be back in time.
@@ -29,7 +29,7 @@
 	excluded map[string]bool // backend servers that failed the request
 
 	sends           int  // requests that may have arrived at a backend server
-	connectFailures int  // connections that could not be opened
+	connectFailures int  // attempts that failed before anything was sent
 	mayHaveRun      bool // the request may have run
 	stream          streamState
 	savedFailure    *bufferedAnswer // a backend server's failure, kept while another server is tried
@@ -93,7 +93,7 @@
 	return true
 }
 
-// failure returns the final answer if no backend server gave one.
+// failure returns the refusal for a request that is not sent again.
 func (r *relay) failure() Refusal {
 	if r.mayHaveRun {
 		return Refusal{Status: http.StatusBadGateway, Reason: ReasonBroken}
@@ -105,8 +105,9 @@
 	}
 }
 
-// finish ends the request with the saved failure, if any, or else with the refusal, adapted
-// to why the context ended. It aborts a stream that has started.
+// finish ends the request with the saved failure, if any, or else with the refusal. If the
+// context has ended, the refusal states the cause instead. A stream that has started is
+// aborted.
 func (r *relay) finish(ctx context.Context, refusal Refusal) {
 	if r.stream.started {
 		// The header of an answer has been sent. Only a connection that ends early tells
@@ -243,13 +244,13 @@
 	}
 }
 
-// errRejecting is returned if the backend server has started to reject new requests
-// meanwhile.
+// errRejecting is returned if the backend server has started to reject new requests since
+// the request was placed there.
 var errRejecting = errors.New("the backend server rejects new requests")
 
-// checkBeforeSend returns why a request must not be sent after all. On a busy processor, or
-// on a link that loses packets, it takes seconds to open a connection: meanwhile the caller
-// may disconnect, or the backend server may start to reject requests.
+// checkBeforeSend returns an error if the request must not be sent any more. On a busy
+// processor, or on a link that loses packets, opening a connection takes seconds. In that
+// time the caller may disconnect, or the backend server may start to reject requests.
 func (r *relay) checkBeforeSend(ctx context.Context, backend *knowledge.Backend) error {
 	if callerDisconnected(ctx) {
 		return backendconn.ErrCallerDisconnected
@@ -279,9 +280,9 @@
 	}
 	peers := r.handler.admission.peers
 	usable := float64(service.MaxConnections) * connectionShare
-	even := usable / float64(max(peers.Routers(), 1))
-	unused := usable - float64(peers.Load(backend.IncarnationHash).Running)
-	return max(int(even), int(unused), 1)
+	evenShare := usable / float64(max(peers.Routers(), 1))
+	leftByOthers := usable - float64(peers.Load(backend.IncarnationHash).Running)
+	return max(int(evenShare), int(leftByOthers), 1)
 }
 
 // ownAnswer reports whether an answer belongs to this request. Refusals may have no id.
@@ -331,8 +332,9 @@
 	}
 }
 
-// recordReset records that the connection to a backend server was reset while it had the
-// request, unless the context has ended.
+// recordReset records, unless the context has ended, that the connection to a backend
+// server failed while the server had the request: as a possible crash, and as a failure in
+// the server's load statistics.
 func (r *relay) recordReset(ctx context.Context, placed *placement, sent boottime.Instant) {
 	if ctx.Err() != nil {
 		return
--- a/internal/gate/request.go
+++ b/internal/gate/request.go
@@ -18,7 +18,7 @@
 	Host     string
 	Header   http.Header // to be passed on; without the headers that the router sets
 	Body     []byte
-	Key      string
+	Key      string        // API key
 	Deadline time.Duration // how long the caller waits, 0 if not given
 	Prompt   Prompt
 	// LastEventID is the id of the last event that the caller has received, "" for none.
@@ -37,7 +37,8 @@
 	Tokens    int // of the prompt
 	MaxOutput int // maximum number of generated tokens
 	// ExpectedOutput is the caller's estimate of the number of generated tokens, 0 for
-	// none. It is right at the median and often far off.
+	// none. The median over many requests is accurate, but a single estimate is often far
+	// off.
 	ExpectedOutput int
 	Segments       []PromptSegment
 }
@@ -49,8 +50,10 @@
 	Tokens int
 }
 
-// SharedSegment returns the id of the last segment that other requests have as well, or "".
-// The last segment of a prompt belongs to the request or its session alone.
+// SharedSegment returns the id of the last segment that other requests may have as well, or
+// "" if there are no segments. That is the last but one, as the last segment of a prompt
+// belongs to the request or its session alone. If there is only one segment, it returns
+// that one.
 func (p Prompt) SharedSegment() string {
 	switch len(p.Segments) {
 	case 0:
@@ -62,7 +65,8 @@
 	}
 }
 
-// SharedTokens returns the number of tokens in the shared segments.
+// SharedTokens returns the number of tokens in all segments but the last, which belongs to
+// the request or its session alone.
 func (p Prompt) SharedTokens() int {
 	shared := 0
 	for i := range len(p.Segments) - 1 {
@@ -71,11 +75,13 @@
 	return shared
 }
 
-// outputTokenWeight is the weight of a generated token where a prompt token counts 1, as
-// the users measure the output of engines.
+// outputTokenWeight is the weight of a generated token relative to a prompt token. The
+// users state the capacity of engines with the same weight.
 const outputTokenWeight = 2
 
-// Cost returns the tokens that the request takes from the fleet's capacity.
+// Cost returns the weighted number of tokens that the request uses, in the unit of
+// knowledge.Limits.TokensPerSecond. Without an estimate of the output it assumes the
+// maximum.
 func (p Prompt) Cost() float64 {
 	output := p.MaxOutput
 	if p.ExpectedOutput > 0 {
