--- a/internal/knowledge/backend_list.go
+++ b/internal/knowledge/backend_list.go
@@ -29,9 +29,9 @@
 	})
 }
 
-// SetBackends applies a list that was known to be complete at the time confirmed. A list of
-// an older position than the current one is ignored.
-func (s *State) SetBackends(backends []Backend, at Position, confirmed boottime.Instant) {
+// SetBackends applies a list that was known to be complete at confirmedAt. A list of an
+// older position than the current one is ignored.
+func (s *State) SetBackends(backends []Backend, at Position, confirmedAt boottime.Instant) {
 	s.update(func(view *View) bool {
 		if at.Before(view.Position) {
 			return false
@@ -44,21 +44,21 @@
 		if restored || view.ListConfirmedAt == 0 {
 			view.removalsSince = at
 		}
-		listed, missingSince := view.mergeList(backends, view.mayBeIncomplete(at, confirmed), now)
-		return view.replaceList(listed, missingSince, at, confirmed, now) || restored
+		listed, missingSince := view.mergeList(backends, view.mayBeIncomplete(at, confirmedAt), now)
+		return view.replaceList(listed, missingSince, at, confirmedAt, now) || restored
 	})
 }
 
 // mayBeIncomplete reports whether backend servers missing from a list may still write their
 // entries again: the list is the first one after an outage, or of a newer era than the
 // current one.
-func (v *View) mayBeIncomplete(at Position, confirmed boottime.Instant) bool {
-	return v.ListConfirmedAt != 0 && (at.Era > v.Position.Era || confirmed.Sub(v.ListConfirmedAt) > v.outageAge)
+func (v *View) mayBeIncomplete(at Position, confirmedAt boottime.Instant) bool {
+	return v.ListConfirmedAt != 0 && (at.Era > v.Position.Era || confirmedAt.Sub(v.ListConfirmedAt) > v.outageAge)
 }
 
-// replaceList sets the list at the position, known to be complete at the time confirmed,
+// replaceList sets the list at the position, known to be complete at confirmedAt,
 // and reports whether its content changed.
-func (v *View) replaceList(listed map[string]*Backend, missingSince map[string]boottime.Instant, at Position, confirmed, now boottime.Instant) bool {
+func (v *View) replaceList(listed map[string]*Backend, missingSince map[string]boottime.Instant, at Position, confirmedAt, now boottime.Instant) bool {
 	before := v.Backends
 	changed := !sameBackends(before, listed)
 	if changed {
@@ -67,7 +67,7 @@
 	}
 	v.MissingSince = missingSince
 	v.Position = at
-	v.ListConfirmedAt = max(v.ListConfirmedAt, confirmed)
+	v.ListConfirmedAt = max(v.ListConfirmedAt, confirmedAt)
 	return changed
 }
 
@@ -158,12 +158,12 @@
 	return backends
 }
 
-// ConfirmBackends records that another router's list with the digest was complete at the
-// time confirmed. It does nothing if the own list differs or retains missing servers.
-func (s *State) ConfirmBackends(digest uint64, confirmed boottime.Instant) {
+// ConfirmBackends records that another router's list with the digest was complete at
+// confirmedAt. It does nothing if the own list differs or retains missing servers.
+func (s *State) ConfirmBackends(digest uint64, confirmedAt boottime.Instant) {
 	s.update(func(view *View) bool {
 		if view.ListConfirmedAt != 0 && view.Digest == digest && len(view.MissingSince) == 0 {
-			view.ListConfirmedAt = max(view.ListConfirmedAt, confirmed)
+			view.ListConfirmedAt = max(view.ListConfirmedAt, confirmedAt)
 		}
 		return false
 	})
--- a/internal/knowledge/evacuations.go
+++ b/internal/knowledge/evacuations.go
@@ -60,11 +60,11 @@
 	})
 }
 
-// SetEvacuations applies the zones that were evacuated at the position. confirmed is a time
-// at which they were known to be current, 0 if unknown. Zones of an older position than the
+// SetEvacuations applies the zones that were evacuated at the position. confirmedAt is a
+// time at which they were known to be current, 0 if unknown. Zones of an older position than the
 // current ones are ignored.
-func (s *State) SetEvacuations(zones []fleet.Zone, at Position, confirmed boottime.Instant) {
-	if known := s.View().Evacuations; at.Compare(known.Position) <= 0 && confirmed <= known.ConfirmedAt {
+func (s *State) SetEvacuations(zones []fleet.Zone, at Position, confirmedAt boottime.Instant) {
+	if known := s.View().Evacuations; at.Compare(known.Position) <= 0 && confirmedAt <= known.ConfirmedAt {
 		return // true of nearly all heartbeats; an update would copy the view
 	}
 	s.update(func(view *View) bool {
@@ -77,7 +77,7 @@
 		known.retainLost(zones, at, now)
 		zones := lo.Uniq(slices.Sorted(slices.Values(append(lo.Keys(known.retainedUntil), zones...))))
 		known.Position = at
-		known.ConfirmedAt = max(known.ConfirmedAt, confirmed)
+		known.ConfirmedAt = max(known.ConfirmedAt, confirmedAt)
 		if slices.Equal(before, zones) {
 			return false
 		}
@@ -113,12 +113,12 @@
 	e.retainedUntil = retained
 }
 
-// ConfirmEvacuations records that exactly these zones were evacuated at the time confirmed.
+// ConfirmEvacuations records that exactly these zones were evacuated at confirmedAt.
 // It does nothing if the current zones differ.
-func (s *State) ConfirmEvacuations(zones []fleet.Zone, confirmed boottime.Instant) {
+func (s *State) ConfirmEvacuations(zones []fleet.Zone, confirmedAt boottime.Instant) {
 	s.update(func(view *View) bool {
 		if slices.Equal(view.Evacuations.Zones, slices.Sorted(slices.Values(zones))) {
-			view.Evacuations.ConfirmedAt = max(view.Evacuations.ConfirmedAt, confirmed)
+			view.Evacuations.ConfirmedAt = max(view.Evacuations.ConfirmedAt, confirmedAt)
 		}
 		return false
 	})
--- a/internal/knowledge/list_changes.go
+++ b/internal/knowledge/list_changes.go
@@ -41,8 +41,8 @@
 }
 
 // ApplyListChanges applies changes received from another router, whose list was complete at
-// the time confirmed. It returns false if they do not continue the current list.
-func (s *State) ApplyListChanges(changes ListChanges, confirmed boottime.Instant) bool {
+// confirmedAt. It returns false if they do not continue the current list.
+func (s *State) ApplyListChanges(changes ListChanges, confirmedAt boottime.Instant) bool {
 	applied := false
 	s.update(func(view *View) bool {
 		known := view.Position
@@ -51,8 +51,8 @@
 		}
 		applied = true
 		now := boottime.Now()
-		listed, missingSince := view.mergeChanges(changes, view.mayBeIncomplete(changes.UpTo, confirmed), now)
-		return view.replaceList(listed, missingSince, changes.UpTo, confirmed, now)
+		listed, missingSince := view.mergeChanges(changes, view.mayBeIncomplete(changes.UpTo, confirmedAt), now)
+		return view.replaceList(listed, missingSince, changes.UpTo, confirmedAt, now)
 	})
 	return applied
 }
--- a/internal/knowledge/state.go
+++ b/internal/knowledge/state.go
@@ -21,7 +21,7 @@
 
 	Backends        map[string]*Backend          // by ID
 	ByService       map[fleet.Service][]*Backend // sorted by ID
-	Serving         map[fleet.Service][]*Backend // those that neither drain nor are evacuated
+	Serving         map[fleet.Service][]*Backend // those that neither drain nor are in an evacuated zone
 	Digest          uint64                       // of the list of backend servers, for comparison with other routers
 	Position        Position                     // of the list of backend servers
 	ListConfirmedAt boottime.Instant             // when the list was last known to be complete
@@ -34,8 +34,8 @@
 	// copy, 0 for never.
 	RestoredAt boottime.Instant
 	removed    map[string]removal // removed backend servers by ID
-	// outageAge is the age of the list from which the next one counts as the first after an
-	// outage.
+	// outageAge is the age of the current list beyond which the store counts as having been
+	// unreachable. The next list is then the first after an outage and may be incomplete.
 	outageAge time.Duration
 	// removalsSince is the position since which removed is complete.
 	removalsSince Position
@@ -54,7 +54,7 @@
 	return v.Index.Configuration.Version
 }
 
-// State is the newest View. Its methods may be called concurrently.
+// State holds the newest View. Its methods may be called concurrently.
 type State struct {
 	mu      sync.Mutex // serializes writers
 	view    atomic.Pointer[View]
@@ -97,29 +97,29 @@
 	s.changed = make(chan struct{})
 }
 
-// SetConfiguration applies a configuration that was the newest at the time confirmed. A
-// version older than the current one is ignored: versions never decrease within a process,
-// or a caller would see a withdrawn route again.
-func (s *State) SetConfiguration(configuration *Configuration, confirmed boottime.Instant) {
+// SetConfiguration applies a configuration that was the newest at confirmedAt. A version
+// older than the current one is ignored: versions never decrease within a process, or a
+// caller would see a withdrawn route again.
+func (s *State) SetConfiguration(configuration *Configuration, confirmedAt boottime.Instant) {
 	s.update(func(view *View) bool {
 		if view.Index != nil && configuration.Version <= view.Version() {
 			if configuration.Version == view.Version() {
-				view.ConfigurationConfirmedAt = max(view.ConfigurationConfirmedAt, confirmed)
+				view.ConfigurationConfirmedAt = max(view.ConfigurationConfirmedAt, confirmedAt)
 			}
 			return false
 		}
 		view.Index = NewIndex(configuration)
-		view.ConfigurationConfirmedAt = max(view.ConfigurationConfirmedAt, confirmed)
+		view.ConfigurationConfirmedAt = max(view.ConfigurationConfirmedAt, confirmedAt)
 		return true
 	})
 }
 
-// ConfirmConfiguration records that the version was the newest at the time confirmed;
-// version 0 means that there was none yet. It does nothing if the current version differs.
-func (s *State) ConfirmConfiguration(version uint64, confirmed boottime.Instant) {
+// ConfirmConfiguration records that the version was the newest at confirmedAt; version 0
+// means that there was none yet. It does nothing if the current version differs.
+func (s *State) ConfirmConfiguration(version uint64, confirmedAt boottime.Instant) {
 	s.update(func(view *View) bool {
 		if view.Version() == version {
-			view.ConfigurationConfirmedAt = max(view.ConfigurationConfirmedAt, confirmed)
+			view.ConfigurationConfirmedAt = max(view.ConfigurationConfirmedAt, confirmedAt)
 		}
 		return false
 	})
--- a/internal/knowledge/types.go
+++ b/internal/knowledge/types.go
@@ -12,7 +12,7 @@
 // Repeat says whether a request may be sent again.
 type Repeat int
 
-// The kinds of routes.
+// The values of Repeat.
 const (
 	// RepeatNever marks requests that run at most once.
 	RepeatNever Repeat = iota
@@ -41,10 +41,10 @@
 	Stream        bool
 	Repeat        Repeat
 	Timeout       time.Duration // time limit of the complete answer
-	TargetLatency time.Duration // greatest latency of an answer in time
-	TargetGap     time.Duration // greatest pause between events of a stream in time, 0 for none
+	TargetLatency time.Duration // maximum latency for an answer to count as in time
+	TargetGap     time.Duration // maximum pause between events for a stream to count as in time, 0 for none
 	Priority      int           // 0 is the most urgent
-	MaxAttempts   int           // greatest number of backend servers for one request
+	MaxAttempts   int           // maximum number of backend servers that one request is sent to
 	Public        bool          // needs no key
 	Affinity      bool          // prefer backend servers that cache segments of the prompt
 	Destinations  []Destination
@@ -101,7 +101,7 @@
 	Service         fleet.Service
 	Address         fleet.Address
 	Zone            fleet.Zone
-	Slots           int
+	Slots           int  // requests that it runs concurrently
 	Draining        bool `json:"Leaving"` // takes no new requests
 	// Position is that of the last change of the entry.
 	Position
@@ -110,9 +110,9 @@
 	// ColdRemaining is how long the server will stay cold, as it stated when it wrote the
 	// entry.
 	ColdRemaining time.Duration `json:"ColdLeft"`
-	// ColdUntil is when the server will be warm, 0 if it is warm now. State counts it from
-	// receiving the entry, which is later than the server wrote it, so a server may be
-	// taken for cold too long but never too short.
+	// ColdUntil is when the server will be warm, 0 if it is warm now. State computes it from
+	// the time at which it received the entry. The server wrote the entry earlier, so it
+	// may count as cold for longer than it is, but never for less.
 	ColdUntil boottime.Instant `json:"-"`
 	// FirstSeen is when this router learned of this incarnation, 0 if it was in the first
 	// list that the router received.
