--- a/internal/peering/manager.go
+++ b/internal/peering/manager.go
@@ -45,7 +45,7 @@
 	// found, since the last call, to have been running at a backend server that crashed.
 	TakeCrashFingerprints() []uint64
 	// SetUsages replaces the usages reported by another router.
-	SetUsages(router fleet.Address, uses map[fleet.Account]shares.Usage)
+	SetUsages(router fleet.Address, usages map[fleet.Account]shares.Usage)
 	// RemoveUsages removes the usages of a router that is no longer reachable.
 	RemoveUsages(router fleet.Address)
 	// ReceiveCrashFingerprint adds a fingerprint reported by another router. It may be
@@ -54,7 +54,7 @@
 	// Status returns the status of this router for operators.
 	Status() gate.Status
 	// SetDrained drains this router on an operator's request, so that new callers go to
-	// others, or ends that. It returns the number of requests in progress.
+	// others, or ends the drain. It returns the number of requests in progress.
 	SetDrained(drained bool, operator, reason string) int
 }
 
@@ -62,8 +62,8 @@
 type Options struct {
 	Address     fleet.Address // of the peering port, for datagrams and calls
 	Zone        fleet.Zone
-	Seeds       []fleet.Address
-	Incarnation uint64
+	Seeds       []fleet.Address // routers to contact before the directory has been read
+	Incarnation uint64          // of this process; must rise with each restart
 	Directory   Directory
 	State       *knowledge.State
 	Logger      logrus.FieldLogger
@@ -80,10 +80,10 @@
 	puller        *puller
 	peerLog       *peerLog
 	traffic       *traffic
-	fingerprints  []fingerprintEntry
-	zoneLog       aggregateLog // usage of this zone as sent to other zones
-	otherZonesLog aggregateLog // usage of other zones as sent within this zone
-	directoryRead atomic.Bool  // whether the directory has been read
+	fingerprints  []fingerprintEntry // to be sent to the other routers
+	zoneLog       aggregateLog       // usage of this zone as sent to other zones
+	otherZonesLog aggregateLog       // usage of other zones as sent within this zone
+	directoryRead atomic.Bool        // set after the first successful read of the directory
 }
 
 // NewManager returns a manager that sends nothing until Run.
@@ -160,9 +160,11 @@
 	m.puller.pullIfNewer(ctx, router, heartbeat, m.aloneInZone, now)
 }
 
-// applyConfirmations updates the age of the state that both routers hold. The peer sent
-// the heartbeat after this router's clock showed the echoed value, so ages count from
-// there: the heartbeat may have waited in the socket while this process was suspended.
+// applyConfirmations records how recently the peer's state was confirmed, as far as this
+// router has the same state. The peer's ages are relative to the time at which it sent the
+// heartbeat. Instead of that time, which this router does not know, it uses an earlier one:
+// its own clock as the peer last received it and echoes it. The time of arrival would be
+// too late if the heartbeat waited in the socket while this process was suspended.
 func (m *Manager) applyConfirmations(heartbeat *peeringpb.Beat, now boottime.Instant) {
 	echo := boottime.Instant(echoedClock(heartbeat, m.options.Address))
 	if echo < m.started || echo > now {
--- a/internal/peering/pull.go
+++ b/internal/peering/pull.go
@@ -41,8 +41,10 @@
 	logger  logrus.FieldLogger
 	network Network
 	onReply func(router fleet.Address, reply *peeringpb.PullReply) // called with each reply
-	busy    atomic.Bool
-	nextAt  atomic.Int64 // boot-time clock
+	// busy is whether a call is in progress, and nextAt the earliest time of the next one,
+	// on the boot-time clock.
+	busy   atomic.Bool
+	nextAt atomic.Int64
 
 	// needsFullList is set when applying changes did not lead to the list of the router
 	// that sent them, so that the next list is pulled in full.
@@ -62,9 +64,9 @@
 	}
 }
 
-// pullIfNewer pulls the fleet state of the heartbeat's sender if it is newer. alone
-// reports whether no other router of this zone is reachable.
-func (p *puller) pullIfNewer(ctx context.Context, router fleet.Address, heartbeat *peeringpb.Beat, alone func(now boottime.Instant) bool, now boottime.Instant) {
+// pullIfNewer pulls the fleet state of the heartbeat's sender if it is newer.
+// aloneInZone reports whether no other router of this zone is reachable.
+func (p *puller) pullIfNewer(ctx context.Context, router fleet.Address, heartbeat *peeringpb.Beat, aloneInZone func(now boottime.Instant) bool, now boottime.Instant) {
 	view := p.state.View()
 	newer := heartbeat.Version > view.Version() || hasNewerList(view, heartbeat)
 	ownAge := now.Sub(view.ListConfirmedAt)
@@ -72,7 +74,7 @@
 	if !newer && !fresher {
 		return
 	}
-	immediate := !view.Ready() || fleet.Zone(heartbeat.Zone) == p.zone || alone(now)
+	immediate := !view.Ready() || fleet.Zone(heartbeat.Zone) == p.zone || aloneInZone(now)
 	if !immediate && !p.delayElapsed(now) {
 		return
 	}
@@ -125,7 +127,8 @@
 	event.GateStatePulled.Log(p.logger, fields)
 }
 
-// knownPosition returns the position of the list from which changes are requested.
+// knownPosition returns the position since which changes are requested, zero to request
+// the complete list.
 func (p *puller) knownPosition(view *knowledge.View) knowledge.Position {
 	if p.needsFullList.Load() {
 		return knowledge.Position{}
@@ -133,7 +136,8 @@
 	return view.Position
 }
 
-// apply applies a reply to a call that named the known position.
+// apply applies a reply. known is the position since which the request asked for
+// changes.
 func (p *puller) apply(reply *peeringpb.PullReply, known knowledge.Position, requestedAt boottime.Instant) error {
 	if len(reply.Configuration) > 0 {
 		var configuration knowledge.Configuration
@@ -178,8 +182,9 @@
 		return nil // a newer list has arrived meanwhile
 	}
 	view := p.state.View()
-	comparable := reply.Digest != 0 && view.Position == changes.UpTo && len(view.MissingSince) == 0
-	p.needsFullList.Store(comparable && view.Digest != reply.Digest)
+	// This router's digest includes the backend servers that it retains though missing.
+	digestsComparable := reply.Digest != 0 && view.Position == changes.UpTo && len(view.MissingSince) == 0
+	p.needsFullList.Store(digestsComparable && view.Digest != reply.Digest)
 	return nil
 }
 
--- a/internal/peering/register.go
+++ b/internal/peering/register.go
@@ -31,16 +31,16 @@
 // if its entry is missing, until the context ends. A process that restarts on its VM
 // finds the entry of its predecessor.
 func (m *Manager) maintainRegistration(ctx context.Context) error {
-	missing := registerAfterMissing - 1 // consecutive lists without this router
+	missingCount := registerAfterMissing - 1 // consecutive lists without this router
 	restoredAt := m.options.State.View().RestoredAt
 	for read := 1; ; read++ {
 		zones, err := m.options.Directory.Routers(ctx)
 		m.logFailure(ctx, err)
 		if err == nil {
-			missing = m.applyDirectory(ctx, zones, missing)
+			missingCount = m.applyDirectory(ctx, zones, missingCount)
 		}
-		if err == nil && missing >= registerAfterMissing {
-			missing = m.registerSelf(ctx, missing)
+		if err == nil && missingCount >= registerAfterMissing {
+			missingCount = m.registerSelf(ctx, missingCount)
 		}
 		m.awaitNextRead(ctx, readInterval(read, len(m.reachableRouters(boottime.Now()))), restoredAt)
 		if ctx.Err() != nil {
@@ -52,18 +52,18 @@
 			// entries, so the directory is read as often as at the start, and a single
 			// list without this router is enough to register again.
 			restoredAt, read = newest, 0
-			missing = max(missing, registerAfterMissing-1)
+			missingCount = max(missingCount, registerAfterMissing-1)
 		}
 	}
 }
 
 // registerSelf registers this router and returns the number of consecutive lists without
 // it.
-func (m *Manager) registerSelf(ctx context.Context, missing int) int {
+func (m *Manager) registerSelf(ctx context.Context, missingCount int) int {
 	err := m.options.Directory.Register(ctx, m.options.Address)
 	m.logFailure(ctx, err)
 	if err != nil {
-		return missing
+		return missingCount
 	}
 	return 0
 }
@@ -99,8 +99,8 @@
 
 // applyDirectory adds the listed routers and returns the number of consecutive lists
 // without this router. A list may be seconds old, so a single one without it proves
-// nothing.
-func (m *Manager) applyDirectory(ctx context.Context, zones map[fleet.Address]fleet.Zone, missing int) int {
+// nothing. A router that watches the store also removes expired entries.
+func (m *Manager) applyDirectory(ctx context.Context, zones map[fleet.Address]fleet.Zone, missingCount int) int {
 	now := boottime.Now()
 	m.directoryRead.Store(true)
 	for address, zone := range zones {
@@ -114,9 +114,10 @@
 	if zone, listed := zones[m.options.Address]; listed && zone == m.options.Zone {
 		return 0
 	}
-	return missing + 1
+	return missingCount + 1
 }
 
+// logFailure logs a failed call to the directory, unless the context has ended.
 func (m *Manager) logFailure(ctx context.Context, err error) {
 	if err == nil || ctx.Err() != nil {
 		return
