--- a/internal/membership/reconciler.go
+++ b/internal/membership/reconciler.go
@@ -11,13 +11,13 @@
 const (
 	// confirmationTime is how long the list must keep showing a leaving VM as
 	// live again, or a VM as gone, before the reconciler acts on it. A stale
-	// read briefly returns an older list; following it would send work to a
+	// read briefly returns an older list; acting on it would send work to a
 	// leaving server or remove nodes that have just started.
 	confirmationTime = 5 * time.Second
-	// newNodeGrace is how long a node may be missing from the list if no
-	// reading has ever shown its VM. The list lags behind new VMs.
+	// newNodeGrace is how long a node's VM may be missing from the list if no
+	// list has ever contained it. The list lags behind new VMs.
 	newNodeGrace = 30 * time.Second
-	// maxRemovals limits the records removed per reading. A list that is
+	// maxRemovals limits the records removed per list. A list that is
 	// wrongly empty would otherwise remove the whole fleet; with the limit it
 	// removes a few nodes, which register again.
 	maxRemovals = 5
@@ -26,8 +26,8 @@
 // Write is a conditional change of a node's record that the reconciler
 // requests.
 type Write struct {
-	Record Record // Version is the one that the platform must still have
-	Remove bool
+	Record Record // the write fails unless the platform still has its Version
+	Remove bool   // remove the record instead of writing it
 }
 
 // Reconciler transfers the platform's list of VMs to the nodes' records, so
@@ -36,8 +36,8 @@
 // registers again in the meantime takes precedence over the older list. A
 // Reconciler is not safe for concurrent use and reads no clock.
 type Reconciler struct {
-	seen          map[string]bool // VMs that any reading has listed
-	discrepancies map[fleet.Address]discrepancy
+	seen          map[string]bool               // names of VMs that any list has contained
+	discrepancies map[fleet.Address]discrepancy // by control address of the node
 }
 
 // discrepancy is a difference between the list and one version of a record.
@@ -51,19 +51,19 @@
 	return &Reconciler{seen: make(map[string]bool), discrepancies: make(map[fleet.Address]discrepancy)}
 }
 
-// Reconcile compares one reading of the list with the records and returns the
-// writes that align the records with it.
+// Reconcile compares the list, as just read, with the records and returns the
+// writes that bring the records in line with it.
 func (r *Reconciler) Reconcile(now time.Time, vms []platform.VM, records []Record) []Write {
-	states := make(map[string]fleet.VMState, len(vms))
+	vmStates := make(map[string]fleet.VMState, len(vms))
 	for _, vm := range vms {
-		states[vm.Name] = vm.State
+		vmStates[vm.Name] = vm.State
 		r.seen[vm.Name] = true
 	}
-	r.prune(states, records)
+	r.prune(vmStates, records)
 	var writes []Write
 	removals := 0
 	for _, record := range records {
-		write, due := r.reconcileRecord(now, states[record.VM], record)
+		write, due := r.reconcileRecord(now, vmStates[record.VM], record)
 		if !due {
 			continue
 		}
@@ -79,7 +79,8 @@
 }
 
 // reconcileRecord compares a record with the state of its VM in the list, which
-// is empty for a VM that is not listed.
+// is empty for a VM that is not listed. It returns a write and whether the write
+// is due now.
 func (r *Reconciler) reconcileRecord(now time.Time, listed fleet.VMState, record Record) (Write, bool) {
 	markedLeaving := record.PlatformState == fleet.VMLeaving
 	switch {
@@ -115,7 +116,7 @@
 }
 
 // prune removes the state of records and VMs that no longer exist.
-func (r *Reconciler) prune(states map[string]fleet.VMState, records []Record) {
+func (r *Reconciler) prune(vmStates map[string]fleet.VMState, records []Record) {
 	nodes := make(map[fleet.Address]bool, len(records))
 	vms := make(map[string]bool, len(records))
 	for _, record := range records {
@@ -123,5 +124,5 @@
 		vms[record.VM] = true
 	}
 	maps.DeleteFunc(r.discrepancies, func(control fleet.Address, _ discrepancy) bool { return !nodes[control] })
-	maps.DeleteFunc(r.seen, func(vm string, _ bool) bool { return !vms[vm] && states[vm] == "" })
+	maps.DeleteFunc(r.seen, func(vm string, _ bool) bool { return !vms[vm] && vmStates[vm] == "" })
 }
