--- a/internal/spread/world.go
+++ b/internal/spread/world.go
@@ -29,18 +29,18 @@
 	verdicts   *verdictTable
 	reconciler *membership.Reconciler
 
-	now      time.Time
-	wakeAt   time.Time
-	commands []Command
+	now      time.Time // of the current tick
+	wakeAt   time.Time // latest time of the next tick, zero for none
+	commands []Command // emitted in the current tick
 
 	view           membership.View
 	peerSet        peerSet
-	refreshAt      time.Time
-	pushedAt       time.Time // of the last push
-	exchangeAt     time.Time
-	exchangeWith   fleet.Address
-	partnerUntil   time.Time
-	lastEnvelopeAt time.Time
+	refreshAt      time.Time     // of the next periodic refresh
+	pushedAt       time.Time     // of the last push
+	exchangeAt     time.Time     // of the next exchange
+	exchangeWith   fleet.Address // partner of the last exchange
+	partnerUntil   time.Time     // until when exchangeWith stays the partner
+	lastEnvelopeAt time.Time     // when a peer's envelope last arrived, or of the first tick
 	join           joinState
 	reconciliation reconcileState
 	registration   registrationState
@@ -49,7 +49,8 @@
 
 var _ tick.World[Event, Command] = (*World)(nil)
 
-// refreshInterval is the time between two checks for expired suspicions.
+// refreshInterval is the interval at which the view is refreshed while it contains
+// entries that expire: suspicions and unregistered nodes.
 const refreshInterval = time.Second
 
 // Dependencies are the objects that World shares with Manager.
@@ -61,21 +62,21 @@
 }
 
 // NewWorld returns the World of a node that has just started.
-func NewWorld(config Config, parts Dependencies) *World {
+func NewWorld(config Config, dependencies Dependencies) *World {
 	config = config.withDefaults()
 	w := &World{
 		config:     config,
 		random:     rand.New(rand.NewPCG(config.Seed, config.Self.Incarnation)),
-		envelopes:  parts.Envelopes,
-		tracker:    parts.Tracker,
-		directory:  parts.Directory,
+		envelopes:  dependencies.Envelopes,
+		tracker:    dependencies.Tracker,
+		directory:  dependencies.Directory,
 		peers:      tick.NewTable[fleet.Address, peerState](),
 		verdicts:   newVerdictTable(),
 		reconciler: membership.NewReconciler(),
 		join:       newJoinState(),
 		peerSet:    newPeerSet(config, membership.View{}),
 	}
-	for id, replica := range map[DocumentID]Replica{DocumentSettings: parts.Settings, DocumentMembers: parts.Directory} {
+	for id, replica := range map[DocumentID]Replica{DocumentSettings: dependencies.Settings, DocumentMembers: dependencies.Directory} {
 		w.documents[id] = &document{id: id, replica: replica, peersAhead: tick.NewTable[fleet.Address, uint64]()}
 	}
 	return w
@@ -159,17 +160,17 @@
 func (w *World) refresh(now time.Time) {
 	members := w.documents[DocumentMembers]
 	version := w.view.Version
-	unsettled := w.tracker.NeedsRefresh()
+	needsRefresh := w.tracker.NeedsRefresh()
 	switch {
 	case members.replica.Revision() > members.reportedRevision:
 		w.view = w.tracker.Refresh(now)
-	case unsettled && !now.Before(w.refreshAt):
+	case needsRefresh && !now.Before(w.refreshAt):
 		w.refreshAt = now.Add(refreshInterval)
 		w.view = w.tracker.Refresh(now)
 	default:
 		w.view = w.tracker.View()
 	}
-	if unsettled {
+	if needsRefresh {
 		w.wake(w.refreshAt)
 	}
 	if w.view.Version != version {
@@ -180,8 +181,8 @@
 
 // prunePeers removes the state of peers that no longer exist.
 func (w *World) prunePeers() {
-	w.peers.Each(func(control fleet.Address, link *peerState) {
-		if !link.syncing && !membership.Contains(w.view.Nodes, control) {
+	w.peers.Each(func(control fleet.Address, peer *peerState) {
+		if !peer.syncing && !membership.Contains(w.view.Nodes, control) {
 			w.peers.Delete(control)
 		}
 	})
