--- a/internal/router/shell_control.go
+++ b/internal/router/shell_control.go
@@ -29,7 +29,7 @@
 	Changed() <-chan struct{}
 	// Envelope returns this node's envelope for a control message.
 	Envelope() *rpc.Envelope
-	// ReceiveEnvelope takes in the envelope of another node.
+	// ReceiveEnvelope processes the envelope of another node's control message.
 	ReceiveEnvelope(envelope *rpc.Envelope)
 	// CallFailed counts a control call to a peer that got no answer.
 	CallFailed(peer fleet.Address)
