--- a/cmd/internal/wiring/agent.go
+++ b/cmd/internal/wiring/agent.go
@@ -12,25 +12,25 @@
 	"github.com/bluebellchute/bluebellchute/internal/rpc"
 )
 
-// Agent provides the parts of an agent. The injector holds its *agent.Config.
+// Agent provides the components of an agent. The injector holds its *agent.Config.
 func Agent(injector do.Injector) {
-	provideKnowledge(injector, fleet.RoleAgent, do.MustInvoke[*agent.Config](injector).Backend.Service)
+	provideFleetView(injector, fleet.RoleAgent, do.MustInvoke[*agent.Config](injector).Backend.Service)
 	do.Provide(injector, newAgent)
 }
 
 func newAgent(injector do.Injector) (daemon.Service, error) {
-	known := do.MustInvoke[knowledge](injector)
+	view := do.MustInvoke[fleetView](injector)
 	manager := agent.NewManager(agent.Options{
 		Config:      do.MustInvoke[*agent.Config](injector),
 		Incarnation: uint64(do.MustInvoke[daemon.Incarnation](injector)),
-		Fleet:       known,
+		Fleet:       view,
 		Clients:     do.MustInvoke[*control.Pool](injector),
 		Readiness:   do.MustInvoke[*daemon.Readiness](injector),
 		Registerer:  do.MustInvoke[prometheus.Registerer](injector),
 		Logger:      do.MustInvoke[logrus.FieldLogger](injector),
 		CountGrants: do.MustInvoke[*control.Metrics](injector).CountGrantsSent,
 	})
-	known.load.set(manager.FillStatus)
+	view.load.set(manager.FillStatus)
 	do.MustInvoke[*control.Server](injector).Register(rpc.NewAgentServer(manager.Control(), control.WithoutSender()))
-	return service{role: manager, knowledge: known}, nil
+	return service{role: manager, fleetView: view}, nil
 }
--- a/cmd/internal/wiring/doc.go
+++ b/cmd/internal/wiring/doc.go
@@ -1,4 +1,4 @@
-// Package wiring puts the parts of each role together. The daemons and
-// bluebell-dev share it, so that a fleet in one process is wired as the real
-// one is.
+// Package wiring assembles the components of routers and agents. The daemons and
+// bluebell-dev share it, so that a fleet in one process has the same components
+// as a real one.
 package wiring
--- a/cmd/internal/wiring/fleet.go
+++ b/cmd/internal/wiring/fleet.go
@@ -18,22 +18,23 @@
 	"github.com/bluebellchute/bluebellchute/internal/spread"
 )
 
-// knowledge is the shared knowledge of the fleet as the roles need it.
-type knowledge struct {
+// fleetView is the node's view of the fleet: its members, settings and verdicts.
+// It implements the Fleet interfaces of both roles.
+type fleetView struct {
 	*spread.Manager
 	replica *settings.Replica
-	load    *loadSource
+	load    *loadReporter
 }
 
-// loadSource adds the role's load to the node's status. The role begins after
-// the node can be asked for its status.
-type loadSource struct {
+// loadReporter adds the role's load to the node's status. The role is created
+// after the component that serves status calls, so that it is set later.
+type loadReporter struct {
 	fill atomic.Pointer[func(*rpc.StatusReply)]
 }
 
-func (l *loadSource) set(fill func(*rpc.StatusReply)) { l.fill.Store(&fill) }
+func (l *loadReporter) set(fill func(*rpc.StatusReply)) { l.fill.Store(&fill) }
 
-func (l *loadSource) add(status *rpc.StatusReply) *rpc.StatusReply {
+func (l *loadReporter) addTo(status *rpc.StatusReply) *rpc.StatusReply {
 	if fill := l.fill.Load(); fill != nil {
 		(*fill)(status)
 	}
@@ -41,44 +42,44 @@
 }
 
 var (
-	_ agent.Fleet  = knowledge{}
-	_ router.Fleet = knowledge{}
+	_ agent.Fleet  = fleetView{}
+	_ router.Fleet = fleetView{}
 )
 
-// Settings returns the settings in force, or nil until the node has joined.
-// A node that starts in an outage of the platform may hold a revision that the
-// fleet has left behind: it would serve client accounts that are disabled.
+// Settings returns the effective settings, or nil until the node has joined.
+// A node that starts during an outage of the platform may hold an outdated
+// revision, with which it would serve client accounts that have been disabled.
 // Joining waits until a peer or the platform has confirmed the revision.
-func (k knowledge) Settings() settings.View {
+func (v fleetView) Settings() settings.View {
 	select {
-	case <-k.Joined():
-		return k.replica.View()
+	case <-v.Joined():
+		return v.replica.View()
 	default:
 		return nil
 	}
 }
 
-// provideKnowledge provides what the node knows of the fleet and registers its
-// Peer service.
-func provideKnowledge(injector do.Injector, role fleet.Role, service fleet.Service) {
-	do.Provide(injector, func(injector do.Injector) (knowledge, error) {
+// provideFleetView provides the node's view of the fleet and registers its Peer
+// service.
+func provideFleetView(injector do.Injector, role fleet.Role, service fleet.Service) {
+	do.Provide(injector, func(injector do.Injector) (fleetView, error) {
 		common := do.MustInvoke[*daemon.Common](injector)
 		incarnation := uint64(do.MustInvoke[daemon.Incarnation](injector))
 		self := common.Node.Self(role, service)
 		self.Incarnation = incarnation
 		replica := settings.NewReplica()
-		load := new(loadSource)
+		load := new(loadReporter)
 		manager := spread.NewManager(spread.Options{
 			Config:     spread.Config{Self: self, Seeds: common.Peers.Control, Seed: incarnation},
 			Settings:   replica,
 			Platform:   platform.NewClient(common.Platform.Address, platform.ClientOptions{}),
 			Peers:      do.MustInvoke[*control.Pool](injector),
-			Status:     func() *rpc.StatusReply { return load.add(statusOf(self)) },
+			Status:     func() *rpc.StatusReply { return load.addTo(statusOf(self)) },
 			Registerer: do.MustInvoke[prometheus.Registerer](injector),
 			Logger:     do.MustInvoke[logrus.FieldLogger](injector),
 		})
 		do.MustInvoke[*control.Server](injector).Register(rpc.NewPeerServer(manager))
-		return knowledge{Manager: manager, replica: replica, load: load}, nil
+		return fleetView{Manager: manager, replica: replica, load: load}, nil
 	})
 }
 
--- a/cmd/internal/wiring/operations_test.go
+++ b/cmd/internal/wiring/operations_test.go
@@ -20,7 +20,7 @@
 	"github.com/bluebellchute/bluebellchute/internal/router"
 )
 
-// role is a daemon as the operators' page describes it.
+// role is a daemon that the operators' page describes.
 type role struct {
 	name   string
 	config daemon.NodeConfig
@@ -45,7 +45,7 @@
 }
 
 // rowsAfter returns the rows of the first table after a heading, without the
-// table's own two lines of head.
+// table's two header lines.
 func rowsAfter(t *testing.T, page, heading string) []string {
 	t.Helper()
 	_, after, found := strings.Cut(page, "\n"+heading+"\n")
@@ -61,15 +61,15 @@
 	return rows[2:]
 }
 
-// TestOperationsPageListsSettings compares the tables of the page with the
-// keys that the daemons take.
+// TestOperationsPageListsSettings compares the tables of the page with the keys
+// that the daemons accept.
 func TestOperationsPageListsSettings(t *testing.T) {
 	page := operationsPage(t)
 	common := inifile.Describe(&struct{ daemon.Common }{})
-	compare(t, "all daemons", rowsAfter(t, page, "### All daemons"), settingRows(common))
+	compareRows(t, "all daemons", rowsAfter(t, page, "### All daemons"), settingRows(common))
 	for _, role := range roles() {
 		own := inifile.Describe(role.config)[len(common):]
-		compare(t, role.name, rowsAfter(t, page, "### "+role.name), settingRows(own))
+		compareRows(t, role.name, rowsAfter(t, page, "### "+role.name), settingRows(own))
 	}
 }
 
@@ -82,7 +82,7 @@
 	})
 }
 
-func compare(t *testing.T, what string, page, code []string) {
+func compareRows(t *testing.T, what string, page, code []string) {
 	t.Helper()
 	missing, stale := lo.Difference(code, page)
 	for _, row := range missing {
@@ -93,7 +93,7 @@
 	}
 }
 
-// TestOperationsPageFilesAreValid reads the files that the page shows.
+// TestOperationsPageFilesAreValid parses the example files of the page.
 func TestOperationsPageFilesAreValid(t *testing.T) {
 	page := operationsPage(t)
 	for _, role := range roles() {
@@ -107,15 +107,15 @@
 	}
 }
 
-// metricDescription finds the name, a constant label and the variable labels in
-// the text of a prometheus.Desc, which tells them in no other way.
+// metricDescription captures the name, a constant label and the variable labels
+// from the text of a prometheus.Desc, which has no accessors for them.
 var metricDescription = regexp.MustCompile(`fqName: "(bluebell_\w+)".*constLabels: \{(\w*)[^}]*\}, variableLabels: \{([\w,]*)\}`)
 
-// metricRow finds the name and the labels of a row on the page.
+// metricRow captures the name and the labels from a row of the page.
 var metricRow = regexp.MustCompile("^\\| `(bluebell_\\w+)` \\| ([\\w, -]+) \\|")
 
-// TestOperationsPageNamesMetrics compares the page with what the daemons
-// register.
+// TestOperationsPageNamesMetrics compares the page with the metrics that the
+// daemons register.
 func TestOperationsPageNamesMetrics(t *testing.T) {
 	code := make(map[string]string)
 	for _, role := range roles() {
@@ -144,7 +144,8 @@
 	}
 }
 
-// describeMetrics adds the metrics of a role that is wired as the daemon is.
+// describeMetrics adds the labels of a role's metrics to into, by metric name. The
+// role is assembled as the daemon assembles it.
 func describeMetrics(t *testing.T, role role, into map[string]string) {
 	t.Helper()
 	logger := logrus.New()
--- a/cmd/internal/wiring/router.go
+++ b/cmd/internal/wiring/router.go
@@ -12,29 +12,29 @@
 	"github.com/bluebellchute/bluebellchute/internal/rpc"
 )
 
-// Router provides the parts of a router. The injector holds its
+// Router provides the components of a router. The injector holds its
 // *router.Config.
 func Router(injector do.Injector) {
-	provideKnowledge(injector, fleet.RoleRouter, "")
+	provideFleetView(injector, fleet.RoleRouter, "")
 	do.Provide(injector, newRouter)
 }
 
 func newRouter(injector do.Injector) (daemon.Service, error) {
 	config := do.MustInvoke[*router.Config](injector)
-	known := do.MustInvoke[knowledge](injector)
+	view := do.MustInvoke[fleetView](injector)
 	manager := router.NewManager(router.Options{
 		Self:        config.Node.Self(fleet.RoleRouter, ""),
 		Incarnation: uint64(do.MustInvoke[daemon.Incarnation](injector)),
 		Callers:     config.Callers,
 		Token:       config.Control.Token,
-		Fleet:       known,
+		Fleet:       view,
 		Agents:      do.MustInvoke[*control.Pool](injector),
 		Readiness:   do.MustInvoke[*daemon.Readiness](injector),
 		Registerer:  do.MustInvoke[prometheus.Registerer](injector),
 		Logger:      do.MustInvoke[logrus.FieldLogger](injector),
 		CountGrants: do.MustInvoke[*control.Metrics](injector).CountGrantsReceived,
 	})
-	known.load.set(manager.FillStatus)
+	view.load.set(manager.FillStatus)
 	do.MustInvoke[*control.Server](injector).Register(rpc.NewRouterServer(manager.Server(), control.WithoutSender()))
-	return service{role: manager, knowledge: known}, nil
+	return service{role: manager, fleetView: view}, nil
 }
--- a/cmd/internal/wiring/service.go
+++ b/cmd/internal/wiring/service.go
@@ -8,19 +8,20 @@
 	"github.com/bluebellchute/bluebellchute/internal/daemon"
 )
 
-// service runs a role together with what the node knows of the fleet.
+// service runs a role together with the node's view of the fleet.
 type service struct {
 	role      daemon.Service
-	knowledge knowledge
+	fleetView fleetView
 }
 
-// Run implements daemon.Service. The spread ends after the role: until its last
-// request is done the node has to hear of its peers, and it is in their lists.
+// Run implements daemon.Service. The view of the fleet ends after the role: until
+// its last request is done, the node has to receive updates from its peers and
+// stay in their lists.
 func (s service) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	spreadCtx, stopSpread := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopSpread()
-	group.Go(func() error { return s.knowledge.Run(spreadCtx) })
+	group.Go(func() error { return s.fleetView.Run(spreadCtx) })
 	group.Go(func() error {
 		defer stopSpread()
 		return s.role.Run(ctx)
