--- a/cmd/bluebell-dev/addresses.go
+++ b/cmd/bluebell-dev/addresses.go
@@ -9,23 +9,23 @@
 	"github.com/bluebellchute/bluebellchute/internal/fleet"
 )
 
-// anyPort lets the kernel choose a port of loopback.
+// anyPort is a loopback address whose port the kernel chooses.
 const anyPort = "127.0.0.1:0"
 
-// addresses hands out loopback addresses and remembers them. The kernel may
-// name the same free port twice in a row, since nobody listens on it in between;
-// a node whose two ports are the same does not start.
-type addresses struct {
+// addressAllocator returns loopback addresses that differ from each other. The
+// kernel may assign the same free port twice in a row, since nobody listens on it
+// in between, and a node whose two ports are the same does not start.
+type addressAllocator struct {
 	taken map[fleet.Address]bool
 }
 
-// newAddresses returns the book of a fleet that uses the given addresses.
-func newAddresses(used ...fleet.Address) *addresses {
-	return &addresses{taken: lo.SliceToMap(used, func(a fleet.Address) (fleet.Address, bool) { return a, true })}
+// newAddressAllocator returns an allocator that never returns the given addresses.
+func newAddressAllocator(used ...fleet.Address) *addressAllocator {
+	return &addressAllocator{taken: lo.SliceToMap(used, func(a fleet.Address) (fleet.Address, bool) { return a, true })}
 }
 
-// next returns an address that it has not returned before.
-func (a *addresses) next() (fleet.Address, error) {
+// next returns a free address that it has not returned before.
+func (a *addressAllocator) next() (fleet.Address, error) {
 	for {
 		address, err := freeAddress()
 		if err != nil {
@@ -38,9 +38,9 @@
 	}
 }
 
-// freeAddress returns a loopback address that nobody listens on. Another
-// process may take it before it is used; then the start fails with an error
-// that names it.
+// freeAddress returns a loopback address that nobody listens on. If another
+// process takes it before it is used, the start fails with an error that names
+// it.
 func freeAddress() (fleet.Address, error) {
 	listener, err := net.Listen("tcp", anyPort)
 	if err != nil {
--- a/cmd/bluebell-dev/addresses_test.go
+++ b/cmd/bluebell-dev/addresses_test.go
@@ -6,24 +6,20 @@
 	"github.com/bluebellchute/bluebellchute/internal/fleet"
 )
 
-// TestAddressesDiffer covers this failure:
-//
-// Symptom: bluebell-dev now and then ends at its start with "data: must differ
-// from control".
-// Sequence: it asks the kernel for a free port for the one, closes it, and
-// asks for the other.
-// Cause: a port that was closed is free, and may be named again at once.
+// TestAddressesDiffer guards against a start that fails with "data: must differ
+// from control". The kernel may assign a port again as soon as the listener that
+// was opened to find it is closed.
 func TestAddressesDiffer(t *testing.T) {
 	const draws = 2000
-	book := newAddresses()
+	allocator := newAddressAllocator()
 	seen := make(map[fleet.Address]bool)
 	for range draws {
-		address, err := book.next()
+		address, err := allocator.next()
 		if err != nil {
 			t.Fatal(err)
 		}
 		if seen[address] {
-			t.Fatalf("%s came twice", address)
+			t.Fatalf("%s was returned twice", address)
 		}
 		seen[address] = true
 	}
--- a/cmd/bluebell-dev/await.go
+++ b/cmd/bluebell-dev/await.go
@@ -15,46 +15,47 @@
 )
 
 const (
-	// startTimeout bounds the wait for the first answers.
+	// startTimeout bounds the wait until all services answer.
 	startTimeout = 30 * time.Second
-	// startPoll is the time between two looks.
-	startPoll = 20 * time.Millisecond
+	// pollInterval is the time between two checks.
+	pollInterval = 20 * time.Millisecond
 )
 
-// await waits until all nodes are ready and each service has answered a call,
-// so that the lines that are printed work at once.
-func (s *sample) await(ctx context.Context) error {
+// awaitReady waits until all nodes are ready and each service has answered a call,
+// so that the commands of the welcome text work when it is printed.
+func (s *sample) awaitReady(ctx context.Context) error {
 	limited, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	for !s.allReady() || !s.answers(limited) {
+	for !s.allReady() || !s.answersCalls(limited) {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-limited.Done():
 			return errors.New("the fleet did not answer a first call; try --log-level info")
-		case <-time.After(startPoll):
+		case <-time.After(pollInterval):
 		}
 	}
 	return nil
 }
 
 func (s *sample) allReady() bool {
-	return lo.EveryBy(s.ready, func(r *daemon.Readiness) bool { return r.NotReady() == "" })
+	return lo.EveryBy(s.readiness, func(r *daemon.Readiness) bool { return r.NotReady() == "" })
 }
 
-// answers makes a call of each service as client account kitchen. The plain
-// one carries a key: agents that have just started can't tell about keys that
-// were made up to then, and refuse them.
-func (s *sample) answers(ctx context.Context) bool {
+// answersCalls calls each service as client account kitchen and reports whether
+// all answered. The call of the plain service carries a key: agents can't tell
+// whether a key made before their start is new, and refuse it.
+func (s *sample) answersCalls(ctx context.Context) bool {
 	model := fmt.Sprintf(`{"model":%q,"x_tokens":1,"messages":[]}`, modelService)
 	return s.call(ctx, "/v1/chat/completions", model, "") &&
 		s.call(ctx, fmt.Sprintf("/svc/%s/", plainService), "{}", newKey())
 }
 
-// newKey returns an Idempotency-Key that tells when it was made.
+// newKey returns an Idempotency-Key, a UUIDv7, which contains the time.
 func newKey() string { return uuid.Must(uuid.NewV7()).String() }
 
-// call reports whether a call was answered. key may be empty.
+// call makes a call and reports whether it was answered with status 200. key may
+// be empty.
 func (s *sample) call(ctx context.Context, path, body, key string) bool {
 	url := fmt.Sprintf("http://%s%s", s.welcome.Callers, path)
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(body))
--- a/cmd/bluebell-dev/main.go
+++ b/cmd/bluebell-dev/main.go
@@ -1,8 +1,8 @@
-// Command bluebell-dev runs a whole fleet in one process on loopback, for a
-// first try: a stand-in of the users' platform, two model engines, a plain
-// service and a gate. With --agents it runs the product's own interface
+// Command bluebell-dev runs a complete sample fleet in one process on loopback: a
+// stand-in for the users' platform, two model engines, a plain service and a
+// router (bluebell-gate). With --agents it runs the product's own interface
 // instead: a router, agents, two client accounts and a sample settings tree. It
-// prints curl lines that work, and ends with Ctrl-C. Nothing is kept.
+// prints curl commands to try, and ends with Ctrl-C. It stores nothing.
 package main
 
 import (
@@ -47,7 +47,7 @@
 	}
 }
 
-// run works until the context ends.
+// run runs the fleet until the context ends.
 func run(ctx context.Context, o options, stdout, stderr io.Writer) error {
 	callers, err := callersAddress(o.Callers)
 	if err != nil {
--- a/cmd/bluebell-dev/main_test.go
+++ b/cmd/bluebell-dev/main_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// stopWriter keeps what is written and stops the fleet at the end of the
-// welcome text.
+// stopWriter records the output and stops the fleet at the end of the welcome
+// text.
 type stopWriter struct {
 	strings.Builder
 	stop context.CancelFunc
@@ -22,9 +22,9 @@
 	return n, err
 }
 
-// TestFirstTry starts each of the fleets. The welcome text comes only once calls
-// have been answered.
-func TestFirstTry(t *testing.T) {
+// TestBothFleetsAnswerCalls starts each of the fleets. The welcome text is printed
+// only after calls have been answered.
+func TestBothFleetsAnswerCalls(t *testing.T) {
 	for name, test := range map[string]struct {
 		options options
 		want    string
@@ -40,7 +40,7 @@
 				t.Fatal(err)
 			}
 			if !strings.Contains(out.String(), test.want) {
-				t.Errorf("no curl line in\n%s", out)
+				t.Errorf("no curl command in\n%s", out)
 			}
 		})
 	}
--- a/cmd/bluebell-dev/nodes.go
+++ b/cmd/bluebell-dev/nodes.go
@@ -13,12 +13,12 @@
 	"github.com/bluebellchute/bluebellchute/internal/router"
 )
 
-// controlToken is the secret of the control messages. It opens nothing but this
-// process.
+// controlToken is the token of the control messages. It is valid in this process
+// only.
 const controlToken = "bluebell-dev"
 
-// commonText renders the sections that all nodes share. The nodes are
-// configured by INI text, so that they take the defaults that a file gives.
+// commonText renders the sections that all nodes share. The nodes are configured
+// by INI text, so that they get the same defaults as with a file.
 func (s *sample) commonText(control, data fleet.Address) string {
 	return fmt.Sprintf(`[node]
 vm = vm-%d
@@ -55,7 +55,7 @@
 	return addNode(s, new(agent.Config), text, wiring.Agent)
 }
 
-// addNode makes a node of a role from the text of its configuration.
+// addNode adds a node with the given configuration text.
 func addNode[C daemon.NodeConfig](s *sample, config C, text string, wire daemon.Wire) error {
 	if err := inifile.Parse("bluebell-dev", []byte(text), config); err != nil {
 		return err
@@ -69,6 +69,6 @@
 		return err
 	}
 	s.nodes = append(s.nodes, node)
-	s.ready = append(s.ready, do.MustInvoke[*daemon.Readiness](injector))
+	s.readiness = append(s.readiness, do.MustInvoke[*daemon.Readiness](injector))
 	return nil
 }
--- a/cmd/bluebell-dev/platform.go
+++ b/cmd/bluebell-dev/platform.go
@@ -19,15 +19,15 @@
 )
 
 const (
-	// tryPause is the pause between two tries of the first call.
-	tryPause = 50 * time.Millisecond
-	// tryMost bounds the wait for the first answer.
-	tryMost = 20 * time.Second
+	// retryInterval is the time between two attempts of the first call.
+	retryInterval = 50 * time.Millisecond
+	// firstCallTimeout bounds the wait until a call is answered.
+	firstCallTimeout = 20 * time.Second
 )
 
-// runPlatformSample runs a fleet as on the users' platform until the context
-// ends: a stand-in of the store, two model engines, a plain service and a gate.
-// It prints calls that work once the first of them has been answered.
+// runPlatformSample runs a fleet as on the users' platform until the context ends:
+// a stand-in for the store, two model engines, a plain service and a gate. It
+// prints the welcome text once a call has been answered.
 func runPlatformSample(ctx context.Context, callers fleet.Address, logger logrus.FieldLogger, out io.Writer) error {
 	sample, err := standin.NewSample()
 	if err != nil {
@@ -53,14 +53,14 @@
 	return nil
 }
 
-// newGate returns a gate for the store.
+// newGate returns a gate that uses the store.
 func newGate(callers, store fleet.Address, logger logrus.FieldLogger) (*gatewiring.Service, error) {
-	used := newAddresses(callers, store)
-	readiness, err := used.next()
+	allocator := newAddressAllocator(callers, store)
+	readiness, err := allocator.next()
 	if err != nil {
 		return nil, err
 	}
-	peers, err := used.next()
+	peers, err := allocator.next()
 	if err != nil {
 		return nil, err
 	}
@@ -77,7 +77,7 @@
 
 // awaitAnswer waits until a call has been answered.
 func awaitAnswer(ctx context.Context, sample *standin.Sample, callers fleet.Address) error {
-	ctx, cancel := context.WithTimeout(ctx, tryMost)
+	ctx, cancel := context.WithTimeout(ctx, firstCallTimeout)
 	defer cancel()
 	for {
 		answered, err := sample.TryCall(ctx, callers)
@@ -87,7 +87,7 @@
 		select {
 		case <-ctx.Done():
 			return errors.Wrap(ctx.Err(), "the first call was not answered")
-		case <-time.After(tryPause):
+		case <-time.After(retryInterval):
 		}
 	}
 }
--- a/cmd/bluebell-dev/sample.go
+++ b/cmd/bluebell-dev/sample.go
@@ -17,31 +17,32 @@
 )
 
 const (
-	// operator stands in the history for the first edit.
+	// operator is the author of the first edit in the settings' history.
 	operator = "bluebell-dev"
-	// shutdownTimeout bounds the end of the platform.
+	// shutdownTimeout bounds the shutdown of the platform.
 	shutdownTimeout = time.Second
-	// modelSlots and plainSlots are the requests that run at once.
+	// modelSlots and plainSlots are the numbers of requests that a backend server
+	// runs concurrently.
 	modelSlots = 4
 	plainSlots = 16
 )
 
-// sample is a whole fleet in one process.
+// sample is a complete fleet in one process.
 type sample struct {
 	logger    logrus.FieldLogger
-	addresses *addresses
+	addresses *addressAllocator
 	listener  net.Listener // of the platform
 	platform  *platform.Server
 	engines   []*engine.Engine
 	nodes     []*daemon.Node
-	ready     []*daemon.Readiness
+	readiness []*daemon.Readiness
 	welcome   welcomeValues
 }
 
-// newSample makes all parts. Nothing but the platform's port is open when it
-// returns.
+// newSample creates all components without starting them. The ports of the
+// platform and of the backend servers are open when it returns.
 func newSample(callers fleet.Address, logger logrus.FieldLogger) (*sample, error) {
-	s := &sample{logger: logger, addresses: newAddresses(callers)}
+	s := &sample{logger: logger, addresses: newAddressAllocator(callers)}
 	if err := s.addPlatform(); err != nil {
 		return nil, err
 	}
@@ -61,7 +62,7 @@
 	return s, nil
 }
 
-// addPlatform makes the platform with the sample settings.
+// addPlatform creates the platform with the sample settings.
 func (s *sample) addPlatform() error {
 	store := platform.NewStore(platform.StoreOptions{NodesMakeVMs: true})
 	result := settings.Bootstrap(context.Background(), store, settingsText(), operator)
@@ -78,7 +79,7 @@
 	return nil
 }
 
-// addBackend makes a backend server and the agent beside it.
+// addBackend creates a backend server and its agent.
 func (s *sample) addBackend(config engine.Config) error {
 	backend, err := engine.Listen(config, anyPort)
 	if err != nil {
@@ -88,8 +89,8 @@
 	return s.addAgent(fleet.Service(config.Name), fleet.Address(backend.Address()))
 }
 
-// run works until the context ends or a part fails. It calls started once the
-// fleet has answered a call of each service.
+// run runs the fleet until the context ends or a component fails. It calls
+// started once the fleet has answered a call of each service.
 func (s *sample) run(ctx context.Context, started func(welcomeValues)) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return s.runPlatform(ctx) })
@@ -100,7 +101,7 @@
 		group.Go(func() error { return node.Run(ctx) })
 	}
 	group.Go(func() error {
-		if err := s.await(ctx); err != nil {
+		if err := s.awaitReady(ctx); err != nil {
 			return err
 		}
 		started(s.welcome)
--- a/cmd/bluebell-dev/settings.go
+++ b/cmd/bluebell-dev/settings.go
@@ -15,14 +15,14 @@
 	plainService fleet.Service = "sample-app"
 )
 
-// API keys of the two client accounts. They open nothing but this process.
+// API keys of the two client accounts. They are valid in this process only.
 const (
 	kitchenKey = "kitchen-key"
 	trackKey   = "track-key"
 )
 
-// settingsText is the sample settings tree: kitchen has twice the share of
-// track.
+// settingsText returns the sample settings tree, in which kitchen has twice the
+// share of track.
 func settingsText() []byte {
 	return fmt.Appendf(nil, `[/]
 default_deadline = 30s
@@ -66,7 +66,7 @@
 Ctrl-C ends it; nothing is kept.
 `))
 
-// welcomeValues are what the welcome text shows.
+// welcomeValues are the values shown in the welcome text.
 type welcomeValues struct {
 	Kitchen, Track             string
 	Callers, Control, Platform fleet.Address
--- a/cmd/bluebell-dev/status_test.go
+++ b/cmd/bluebell-dev/status_test.go
@@ -14,22 +14,18 @@
 	"github.com/bluebellchute/bluebellchute/internal/fleet"
 )
 
-// reported is what bluebellctl status tells of one node.
-type reported struct {
+// nodeStatus is the status of a node as printed by bluebellctl.
+type nodeStatus struct {
 	Role    fleet.Role `json:"role"`
 	Slots   int        `json:"slots"`
 	Running int        `json:"running"`
 	Waiting int        `json:"waiting"`
 }
 
-// TestStatusShowsLoad covers this failure:
-//
-// Symptom: an operator who wants to replace a backend server sees no request
-// in progress at any node, and stops one that works.
-// Sequence: calls fill all slots of a service and two more wait; the operator
-// asks for the status.
-// Cause: the shared knowledge answers status calls and knew nothing of the
-// role's load.
+// TestStatusShowsLoad guards against a status without requests in progress, by
+// which an operator would stop a backend server that is working. The node's view
+// of the fleet answers status calls and has to include the role's load. Calls fill
+// all slots of a service and two more wait.
 func TestStatusShowsLoad(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -48,10 +44,10 @@
 			go fleetInProcess.call(ctx, "/v1/completions", longCall, "")
 		}
 		awaitLoad(t, welcome, load{
-			slots:       2*modelSlots + plainSlots,
-			running:     2 * modelSlots,
-			waiting:     waiting,
-			ofTheRouter: 2*modelSlots + waiting,
+			slots:    2*modelSlots + plainSlots,
+			running:  2 * modelSlots,
+			waiting:  waiting,
+			atRouter: 2*modelSlots + waiting,
 		})
 	})
 	if err != nil {
@@ -59,30 +55,30 @@
 	}
 }
 
-// longCall runs for longer than the test.
+// longCall is the body of a call that runs for longer than the test.
 var longCall = fmt.Sprintf(`{"model":%q,"x_tokens":1000000,"prompt":""}`, modelService)
 
-// load is what all nodes together tell. A request that has no slot yet waits at
-// the router, or at an agent that granted it a slot ahead of its time.
+// load is the sum of what the nodes report. A request without a slot waits at the
+// router, or at an agent that has granted it a slot in advance.
 type load struct {
 	slots, running, waiting int // of the agents; waiting also at the router
-	ofTheRouter             int // requests that the router holds
+	atRouter                int // requests that the router holds
 }
 
-// awaitLoad asks until the nodes tell what is wanted, at most until the calls
+// awaitLoad polls until the nodes report the wanted load, at most until the calls
 // reach their deadline.
 func awaitLoad(t *testing.T, welcome welcomeValues, want load) {
 	t.Helper()
 	var got load
-	for end := time.Now().Add(startTimeout); time.Now().Before(end); time.Sleep(startPoll) {
+	for end := time.Now().Add(startTimeout); time.Now().Before(end); time.Sleep(pollInterval) {
 		if got = loadOf(t, welcome); got == want {
 			return
 		}
 	}
-	t.Errorf("at last the status shows %+v, want %+v", got, want)
+	t.Errorf("the last status shows %+v, want %+v", got, want)
 }
 
-// loadOf adds up what bluebellctl status tells.
+// loadOf returns the sum of the loads that bluebellctl status prints.
 func loadOf(t *testing.T, welcome welcomeValues) load {
 	t.Helper()
 	var out, problems bytes.Buffer
@@ -92,7 +88,7 @@
 	if exit := app.Run(args); exit != ctl.ExitSuccess {
 		t.Errorf("exit status %d: %s", exit, &problems)
 	}
-	var nodes []reported
+	var nodes []nodeStatus
 	if err := json.Unmarshal(out.Bytes(), &nodes); err != nil {
 		t.Errorf("%v in %s", err, &out)
 	}
@@ -100,7 +96,7 @@
 	for _, node := range nodes {
 		sum.slots += node.Slots
 		if node.Role == fleet.RoleRouter {
-			sum.ofTheRouter += node.Running + node.Waiting
+			sum.atRouter += node.Running + node.Waiting
 			sum.waiting += node.Waiting
 			continue
 		}
