--- a/cmd/measure-spread/edit.go
+++ b/cmd/measure-spread/edit.go
@@ -13,25 +13,25 @@
 )
 
 const (
-	// editLimit ends the wait for an edit that does not arrive.
-	editLimit = time.Minute
-	// betweenEdits lets the platform's watchers find it again after an outage.
-	betweenEdits = 8 * time.Second
+	// editTimeout bounds the wait for an edit to reach all nodes.
+	editTimeout = time.Minute
+	// recoveryDelay gives the platform's watchers time to reconnect after an outage.
+	recoveryDelay = 8 * time.Second
 )
 
-// editFigures tell how one edit spread.
+// editFigures are the measurements of one edit.
 type editFigures struct {
 	Revision      uint64  `json:"revision"`
-	MedianMs      float64 `json:"median_ms"` // from the acceptance until in force at a node
+	MedianMs      float64 `json:"median_ms"` // from acceptance until effective at a node
 	P99Ms         float64 `json:"p99_ms"`
 	LastMs        float64 `json:"last_ms"`
 	MissingNodes  int     `json:"missing_nodes"`
 	AfterOutage   int     `json:"nodes_reached_after_the_outage_began"`
-	SettingsBytes float64 `json:"settings_bytes_per_node"` // bodies in and out, until the last node has it
+	SettingsBytes float64 `json:"settings_bytes_per_node"` // request and response bodies, until the last node has the edit
 }
 
-// measureEdit has an edit accepted, stops the platform a moment later and waits
-// until the edit is in force everywhere.
+// measureEdit submits an edit, stops the platform shortly after its acceptance and
+// waits until the edit is effective at all nodes.
 func (f *testFleet) measureEdit(ctx context.Context, o options, number int) (editFigures, error) {
 	before, err := f.controlBytes()
 	if err != nil {
@@ -48,7 +48,7 @@
 	}
 	outage := time.AfterFunc(o.Outage, func() { f.store.SetFaults(platform.Faults{Down: true}) })
 	defer outage.Stop()
-	times := f.waitRevision(ctx, result.Revision, accepted)
+	times := f.waitAllForRevision(ctx, result.Revision, accepted)
 	after, err := f.controlBytes()
 	if err != nil {
 		return editFigures{}, err
@@ -61,20 +61,20 @@
 		return figures, err
 	}
 	f.store.SetFaults(platform.Faults{})
-	return figures, sleep(ctx, betweenEdits)
+	return figures, sleep(ctx, recoveryDelay)
 }
 
-// waitRevision returns, in order, the times from accepted until each node had
-// the revision in force.
-func (f *testFleet) waitRevision(ctx context.Context, revision uint64, accepted time.Time) []time.Duration {
-	bounded, cancel := context.WithTimeout(ctx, editLimit)
+// waitAllForRevision waits until all nodes have the revision, or for editTimeout.
+// It returns the sorted times that the nodes took, counted from accepted.
+func (f *testFleet) waitAllForRevision(ctx context.Context, revision uint64, accepted time.Time) []time.Duration {
+	bounded, cancel := context.WithTimeout(ctx, editTimeout)
 	defer cancel()
 	var mu sync.Mutex
 	var times []time.Duration
 	var waiting sync.WaitGroup
 	for _, node := range f.nodes {
 		waiting.Go(func() {
-			if !waitNode(bounded, node.settings, revision) {
+			if !waitForRevision(bounded, node.settings, revision) {
 				return
 			}
 			mu.Lock()
@@ -87,7 +87,7 @@
 	return times
 }
 
-func waitNode(ctx context.Context, replica *settings.Replica, revision uint64) bool {
+func waitForRevision(ctx context.Context, replica *settings.Replica, revision uint64) bool {
 	for {
 		changed := replica.Changed()
 		if replica.Revision() >= revision {
@@ -101,13 +101,13 @@
 	}
 }
 
-// summarize works out the figures of sorted times.
+// summarize computes the figures of sorted times.
 func summarize(times []time.Duration, outage time.Duration) editFigures {
 	if len(times) == 0 {
 		return editFigures{}
 	}
 	milliseconds := func(index int) float64 { return float64(times[index].Microseconds()) / 1000 }
-	late := len(times) - sortedBelow(times, outage)
+	late := len(times) - countBelow(times, outage)
 	last := len(times) - 1
 	return editFigures{
 		MedianMs:    milliseconds(len(times) / 2),
@@ -117,8 +117,8 @@
 	}
 }
 
-// sortedBelow counts the times below a limit.
-func sortedBelow(times []time.Duration, limit time.Duration) int {
+// countBelow returns how many of the sorted times are below a limit.
+func countBelow(times []time.Duration, limit time.Duration) int {
 	index, _ := slices.BinarySearch(times, limit)
 	return index
 }
--- a/cmd/measure-spread/fleet.go
+++ b/cmd/measure-spread/fleet.go
@@ -23,12 +23,12 @@
 
 const (
 	token = "measure"
-	// joinLimit ends a measurement whose nodes do not come up.
-	joinLimit = 2 * time.Minute
-	// startGap is the time between the starts of two nodes, so that their
-	// registrations stay below the platform's rate of writes.
-	startGap = 5 * time.Millisecond
-	seeds    = 3
+	// joinTimeout bounds the wait until all nodes have joined.
+	joinTimeout = 2 * time.Minute
+	// startInterval is the time between the starts of two nodes. It keeps their
+	// registrations below the platform's rate limit of writes.
+	startInterval = 5 * time.Millisecond
+	seedCount     = 3
 
 	accountsPerTeam = 10
 )
@@ -38,14 +38,14 @@
 
 func (alwaysReady) NotReady() string { return "" }
 
-// testNode is one node of the measurement.
+// testNode is a node of the measured fleet.
 type testNode struct {
 	manager  *spread.Manager
 	settings *settings.Replica
 	registry *prometheus.Registry
 }
 
-// testFleet is a platform and its nodes, all in this process.
+// testFleet is a platform and its nodes, all in one process.
 type testFleet struct {
 	store   *platform.Store
 	server  *platform.Server
@@ -65,14 +65,14 @@
 		return nil, errors.Wrap(err, "platform")
 	}
 	f.running.Go(func() { _ = f.server.Serve(listener) })
-	if result := settings.Bootstrap(ctx, f.store, firstTree(o.Accounts), "measure-spread"); result.Err != nil {
-		return nil, errors.Wrap(result.Err, "first settings")
+	if result := settings.Bootstrap(ctx, f.store, initialSettings(o.Accounts), "measure-spread"); result.Err != nil {
+		return nil, errors.Wrap(result.Err, "initial settings")
 	}
 	addresses, err := freeAddresses(o.Nodes)
 	if err != nil {
 		return nil, err
 	}
-	config.Seeds = addresses[:min(seeds, len(addresses))]
+	config.Seeds = addresses[:min(seedCount, len(addresses))]
 	for i, address := range addresses {
 		config.Self = fleet.Node{
 			VM:          fmt.Sprintf("vm-%d", i),
@@ -85,7 +85,7 @@
 		}
 		config.Seed = uint64(i)
 		f.startNode(running, config, fleet.Address(listener.Addr().String()))
-		time.Sleep(startGap)
+		time.Sleep(startInterval)
 	}
 	return f, nil
 }
@@ -112,7 +112,7 @@
 	f.nodes = append(f.nodes, node)
 }
 
-// stop ends all nodes and the platform.
+// stop stops all nodes and the platform and waits for them.
 func (f *testFleet) stop() {
 	f.cancel()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -124,7 +124,7 @@
 // waitJoined waits until every node has joined and knows all nodes, and
 // returns the time since the start of the first one in milliseconds.
 func (f *testFleet) waitJoined(ctx context.Context) (int64, error) {
-	bounded, cancel := context.WithTimeout(ctx, joinLimit)
+	bounded, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	for _, node := range f.nodes {
 		select {
@@ -147,7 +147,7 @@
 	return time.Since(f.started).Milliseconds(), nil
 }
 
-// freeAddresses finds ports that nobody listens on.
+// freeAddresses returns loopback addresses that nobody listens on.
 func freeAddresses(count int) ([]fleet.Address, error) {
 	var addresses []fleet.Address
 	for range count {
@@ -161,8 +161,9 @@
 	return addresses, nil
 }
 
-// firstTree returns settings with a number of client accounts in teams.
-func firstTree(accounts int) []byte {
+// initialSettings returns settings with the given number of client accounts,
+// grouped in teams.
+func initialSettings(accounts int) []byte {
 	var text strings.Builder
 	for i := range accounts {
 		fmt.Fprintf(&text, "[%s/account-%d]\nweight = %d\n", teamOf(i), i, 1+i%accountsPerTeam)
--- a/cmd/measure-spread/idle.go
+++ b/cmd/measure-spread/idle.go
@@ -13,9 +13,9 @@
 	"github.com/bluebellchute/bluebellchute/internal/platform"
 )
 
-// idleFigures are the costs of a node while nothing happens, as means over the
-// nodes. The platform's server runs in the same process, so its small share is
-// within the CPU time and the memory.
+// idleFigures are the costs of an idle node, as means over the nodes. CPU time and
+// memory include the small share of the platform's server, which runs in the same
+// process.
 type idleFigures struct {
 	Seconds             float64            `json:"seconds"`
 	BytesPerSecond      float64            `json:"control_bytes_per_node_second"` // in and out
@@ -28,7 +28,7 @@
 	PlatformCallsByKind map[string]float64 `json:"platform_calls_by_kind"`
 }
 
-// sample is the state of the counters at one time.
+// sample holds the counters at one time.
 type sample struct {
 	at    time.Time
 	bytes map[string]float64
@@ -58,10 +58,10 @@
 	if err != nil {
 		return idleFigures{}, err
 	}
-	return f.compare(before, after), nil
+	return f.idleBetween(before, after), nil
 }
 
-func (f *testFleet) compare(before, after sample) idleFigures {
+func (f *testFleet) idleBetween(before, after sample) idleFigures {
 	count := float64(len(f.nodes))
 	seconds := after.at.Sub(before.at).Seconds()
 	figures := idleFigures{
@@ -120,7 +120,7 @@
 	}
 }
 
-// cpuTime is the processor time that this process has used.
+// cpuTime returns the CPU time that this process has used.
 func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -129,7 +129,7 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// residentBytes is the largest resident size that this process has had.
+// residentBytes returns the peak resident size of this process.
 func residentBytes() uint64 {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
--- a/cmd/measure-spread/main.go
+++ b/cmd/measure-spread/main.go
@@ -1,7 +1,7 @@
-// Command measure-spread runs many nodes in one process, each with a control
-// port of its own on loopback, and prints one JSON object: what they cost while
-// nothing happens, and how long accepted edits take to be in force everywhere
-// when the platform goes down right after.
+// Command measure-spread runs many nodes in one process, each with its own control
+// port on loopback, and prints one JSON object: the costs of idle nodes, and the
+// time until accepted edits are effective at all nodes when the platform goes down
+// right after accepting them.
 package main
 
 import (
@@ -59,7 +59,7 @@
 	}
 }
 
-// report is what is printed.
+// report is the printed JSON object.
 type report struct {
 	Nodes      int            `json:"nodes"`
 	JoinedMs   int64          `json:"all_joined_ms"`
