--- a/cmd/measure-path/main.go
+++ b/cmd/measure-path/main.go
@@ -1,7 +1,7 @@
-// Command measure-path measures the path of plain calls through running
-// processes and prints one JSON object. Its modes are latency (what router and
-// agent add to a direct call), throughput (the processor time that a call costs
-// the router) and waiting (the memory that waiting requests cost it).
+// Command measure-path measures calls of a plain service through a running router
+// and agent, and prints one JSON object. Its modes are latency (the time that
+// router and agent add to a direct call), throughput (the CPU time of the router
+// per call) and waiting (the memory of the router per waiting request).
 package main
 
 import (
