--- a/cmd/bluebell-lab/main.go
+++ b/cmd/bluebell-lab/main.go
@@ -1,6 +1,5 @@
-// Command bluebell-lab plays policies on drawn deployments in simulated time and
-// compares what callers get. Its experiment is an INI file; scenarios/lab holds
-// some.
+// Command bluebell-lab simulates policies on random deployments and compares the
+// results for callers. The experiment is an INI file; scenarios/lab has examples.
 package main
 
 import (
