--- a/cmd/bluebell-load/main.go
+++ b/cmd/bluebell-load/main.go
@@ -1,5 +1,5 @@
-// Command bluebell-load offers the load of a scenario file to running routers
-// and prints one JSON object with the figures.
+// Command bluebell-load sends the load of a scenario file to running routers and
+// prints the results as one JSON object.
 package main
 
 import (
