--- a/cmd/bluebell-router/main.go
+++ b/cmd/bluebell-router/main.go
@@ -1,5 +1,5 @@
-// Command bluebell-router takes the calls of client accounts, holds what has to
-// wait, and returns whole answers.
+// Command bluebell-router accepts the calls of client accounts, queues those that
+// have to wait for capacity, and returns complete answers.
 package main
 
 import (
