--- a/cmd/bluebell-agent/main.go
+++ b/cmd/bluebell-agent/main.go
@@ -1,5 +1,6 @@
-// Command bluebell-agent runs in the slot beside a backend server and owns its
-// capacity: it admits, grants, charges, keeps answers and drains.
+// Command bluebell-agent runs beside a backend server and manages its capacity: it
+// grants slots to routers, admits requests, accounts for their cost, holds answers
+// until they are acknowledged, and drains the server.
 package main
 
 import (
