--- a/cmd/bluebellctl/main.go
+++ b/cmd/bluebellctl/main.go
@@ -1,5 +1,5 @@
 // Command bluebellctl reads and edits the settings of a bluebellchute fleet,
-// follows a change to all nodes, and drains backend servers.
+// watches a change reach all nodes, and drains backend servers.
 package main
 
 import (
