--- a/cmd/standin-engine/main.go
+++ b/cmd/standin-engine/main.go
@@ -1,6 +1,6 @@
-// Command standin-engine is a stand-in backend server for tests and
-// measurements. It takes flags instead of an INI file, as it is no daemon of
-// the fleet.
+// Command standin-engine is a simulated backend server for tests and measurements.
+// It is configured by flags instead of an INI file, as it is not one of the
+// fleet's daemons.
 package main
 
 import (
