--- a/cmd/standin-platform/main.go
+++ b/cmd/standin-platform/main.go
@@ -17,7 +17,7 @@
 	"github.com/bluebellchute/bluebellchute/internal/settings"
 )
 
-// shutdownTimeout is the time for which calls in progress are waited for.
+// shutdownTimeout bounds the wait for calls in progress at the end.
 const shutdownTimeout = 3 * time.Second
 
 // exitUsage is the exit status for a bad command line.
@@ -78,8 +78,8 @@
 	return server.Shutdown(limited)
 }
 
-// seed puts the settings tree of a file into the store; an empty name leaves
-// the store empty.
+// seed writes the settings tree of a file to the store, or nothing if the name is
+// empty.
 func seed(ctx context.Context, store *platform.Store, file string) error {
 	if file == "" {
 		return nil
