--- a/internal/e2e/drain_test.go
+++ b/internal/e2e/drain_test.go
@@ -16,10 +16,10 @@
 	for _, victim := range []string{"agent", "router"} {
 		t.Run(victim, func(t *testing.T) {
 			c := startCluster(t, clusterConfig{routers: 1, agents: 2, slots: 2})
-			made := call{tokens: shortAnswer}
+			sent := call{tokens: shortAnswer}
 			var pending []<-chan answer
 			for range concurrentCalls {
-				pending = append(pending, startCall(c.routers[0], made))
+				pending = append(pending, startCall(c.routers[0], sent))
 			}
 			c.awaitInProgress(t, concurrentCalls)
 			drained := c.routers[0]
@@ -29,7 +29,7 @@
 			drained.signal(syscall.SIGTERM)
 			for _, done := range pending {
 				got := <-done
-				if err := got.checkComplete(made); err != nil {
+				if err := got.checkComplete(sent); err != nil {
 					t.Errorf("%s: %v", got.request, err)
 				}
 			}
--- a/internal/e2e/pause_test.go
+++ b/internal/e2e/pause_test.go
@@ -54,7 +54,7 @@
 }
 
 // checkRuns compares the answers of callers with the runs at the backends.
-func (c *cluster) checkRuns(t *testing.T, answers []answer, made call) {
+func (c *cluster) checkRuns(t *testing.T, answers []answer, sent call) {
 	t.Helper()
 	runs := make(map[string][]engine.Run)
 	for _, b := range c.backends {
@@ -70,7 +70,7 @@
 		case got.outcome == fleet.OutcomeNotRun && n != 0:
 			t.Errorf("%s ran, but was reported to its caller as not run", got.request)
 		case got.outcome == fleet.OutcomeCompleted:
-			if err := got.checkComplete(made); err != nil {
+			if err := got.checkComplete(sent); err != nil {
 				t.Errorf("%s: %v", got.request, err)
 			}
 		case got.outcome == "":
--- a/internal/pathtest/property_test.go
+++ b/internal/pathtest/property_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// keyFor returns the key with a number: a UUIDv7 made after the agents' start.
+// keyFor returns the key with the given index, a UUIDv7 that is made on first use.
 func (s *sim) keyFor(number int) string {
 	for len(s.keys) <= number {
 		s.keys = append(s.keys, s.newID().String())
