--- a/internal/gate/config.go
+++ b/internal/gate/config.go
@@ -132,10 +132,9 @@
 	// more often.
 	heapShare = 0.75
 	// keyMaxAgeShare is the fraction of the bound for withdrawn keys up to which a router
-	// accepts keys without a new confirmation of its configuration. A key may be withdrawn
-	// right after a confirmation, and accepted requests take time to reach a backend
-	// server, so it is well below 1. It is above 0.6, since the users do not count requests
-	// that arrive when the configuration is older than 0.6 of the bound.
+	// accepts keys without a new confirmation of its configuration. Requests with keys are
+	// promised an answer up to 0.6 of the bound only, so refusing them from here on breaks
+	// no promise.
 	keyMaxAgeShare = 0.8
 	// denialMaxAgeShare is the fraction of the bound for configurations up to which an
 	// unknown route is denied permanently.
