--- a/internal/spread/shell_server.go
+++ b/internal/spread/shell_server.go
@@ -63,7 +63,7 @@
 	case <-m.loop.Done():
 		return nil, twirp.NewError(twirp.Unavailable, "this node is stopping")
 	case <-ctx.Done():
-		return nil, twirp.NewError(twirp.DeadlineExceeded, "the caller disconnected")
+		return nil, twirp.NewError(twirp.DeadlineExceeded, "the caller has gone")
 	}
 }
 
